--- a/internal/admission/mtquota/account.go
+++ b/internal/admission/mtquota/account.go
@@ -8,50 +8,50 @@
 	"github.com/mustardtide/mustardtide/internal/admission/mtmargin"
 )
 
-// account is what an entry holds of one account's quota. One in use takes about 300
-// bytes.
+// account is the entry's state of one client account. An account in use takes about 300 bytes.
 type account struct {
 	name string
-	// credit is what the entry may admit at once; floor, zero or less, is how far it may
-	// go down.
+	// credit is the cost that the entry may admit without a draw. floor, zero or less, is the
+	// lowest value that credit may reach.
 	credit atomic.Int64
 	floor  atomic.Int64
-	// wanted is the cost of the requests since the last tick.
-	wanted atomic.Int64
-	// blocked is the time since the entry's start until which there is no credit to draw.
-	blocked atomic.Int64
-	// demand is the cost that is asked for in a second. Ticks alone use it.
+	// requested is the total cost of the requests since the last tick.
+	requested atomic.Int64
+	// blockedUntil is the time, as an offset from Quota.started, before which no credit is drawn.
+	blockedUntil atomic.Int64
+	// demand is the average cost requested per second. Quota.mu guards it.
 	demand float64
-	// largest is the largest request since the last tick, large that of late.
-	largest atomic.Int64
-	large   float64
-	// over says that requests were refused since the last tick, exceeded is when some
-	// were refused last.
-	over     atomic.Bool
-	exceeded time.Time
-	limit    atomic.Pointer[fleetv1.Account]
-	totals   totals
+	// largestSinceTick is the cost of the largest request since the last tick; recentLargest is a
+	// maximum that decays over time.
+	largestSinceTick atomic.Int64
+	recentLargest    float64
+	// refusedSinceTick is set if requests were refused since the last tick; lastRefused is the
+	// last tick that found it set.
+	refusedSinceTick atomic.Bool
+	lastRefused      time.Time
+	limit            atomic.Pointer[fleetv1.Account]
+	totals           totals
 }
 
-// totals count an account's cost.
+// totals are the cumulative costs of an account.
 type totals struct{ admitted, refused, drawn atomic.Int64 }
 
-// account returns the entry's part of an account's quota.
-func (q *Quota) account(of *fleetv1.Account) *account {
-	found, ok := q.accounts.Load(of.GetName())
+// account returns the entry's state of a client account and creates it if needed.
+func (q *Quota) account(client *fleetv1.Account) *account {
+	found, ok := q.accounts.Load(client.GetName())
 	if !ok {
-		fresh := &account{name: of.GetName()}
-		fresh.floor.Store(-int64(mtmargin.Of(of, q.bounds).Debt(q.Entries())))
-		found, _ = q.accounts.LoadOrStore(of.GetName(), fresh)
+		fresh := &account{name: client.GetName()}
+		fresh.floor.Store(-int64(mtmargin.Of(client, q.bounds).Debt(q.Entries())))
+		found, _ = q.accounts.LoadOrStore(client.GetName(), fresh)
 	}
 	a := found.(*account)
-	if a.limit.Load() != of {
-		a.limit.Store(of)
+	if a.limit.Load() != client {
+		a.limit.Store(client)
 	}
 	return a
 }
 
-// take takes a cost from the credit.
+// take deducts a cost from the credit and reports whether there was enough.
 func (a *account) take(cost int64) bool {
 	for {
 		credit := a.credit.Load()
@@ -65,42 +65,42 @@
 	}
 }
 
-// takePart takes what credit there is, and less than a cost.
-func (a *account) takePart(cost int64) int64 {
+// takePartial deducts the available credit, at most cost-1, and returns the amount deducted.
+func (a *account) takePartial(cost int64) int64 {
 	for {
 		credit := a.credit.Load()
-		some := min(max(0, credit), cost-1)
-		if a.credit.CompareAndSwap(credit, credit-some) {
-			return max(0, some)
+		amount := min(max(0, credit), cost-1)
+		if a.credit.CompareAndSwap(credit, credit-amount) {
+			return max(0, amount)
 		}
 	}
 }
 
-// observe notes what a request asks.
+// observe records the cost of a request for the demand estimate.
 func (a *account) observe(cost int64) {
-	a.wanted.Add(cost)
+	a.requested.Add(cost)
 	for {
-		largest := a.largest.Load()
-		if cost <= largest || a.largest.CompareAndSwap(largest, cost) {
+		largest := a.largestSinceTick.Load()
+		if cost <= largest || a.largestSinceTick.CompareAndSwap(largest, cost) {
 			return
 		}
 	}
 }
 
-// Blocked is how long an account that has used up its quota draws no credit; 0 where it may
-// ask for some.
+// Blocked returns for how long an account that has used up its quota may draw no credit, or 0 if
+// it may draw now.
 func (q *Quota) Blocked(name string) time.Duration {
 	found, ok := q.accounts.Load(name)
 	if !ok || found.(*account).credit.Load() > 0 {
 		return 0
 	}
-	return max(0, time.Duration(found.(*account).blocked.Load())-time.Since(q.begun))
+	return max(0, time.Duration(found.(*account).blockedUntil.Load())-time.Since(q.started))
 }
 
-// Retain forgets all accounts but some.
-func (q *Quota) Retain(kept func(name string) bool) {
+// Retain deletes every account for which keep returns false.
+func (q *Quota) Retain(keep func(name string) bool) {
 	for name := range q.accounts.Range {
-		if !kept(name.(string)) {
+		if !keep(name.(string)) {
 			q.accounts.Delete(name)
 		}
 	}
--- a/internal/admission/mtquota/cost_test.go
+++ b/internal/admission/mtquota/cost_test.go
@@ -13,7 +13,7 @@
 	"github.com/mustardtide/mustardtide/internal/admission/mtquota"
 )
 
-// Each line of the file is a request and what it counts.
+// Each line of the file is a request and its expected cost.
 func TestCosts(t *testing.T) {
 	g := NewWithT(t)
 	file, err := os.Open("testdata/costs.txt")
--- a/internal/admission/mtquota/shard.go
+++ b/internal/admission/mtquota/shard.go
@@ -11,65 +11,68 @@
 )
 
 const (
-	// heartbeats is how often an entry draws at least in a lease.
-	heartbeats = 3
-	// lenderTime is what each entry of the fleet adds to the time between heartbeats, so
-	// that an allocator gets no more than a few hundred a second from all.
-	lenderTime = 3 * time.Millisecond
-	// silentTime is how long an allocator may leave a draw unanswered.
-	silentTime = 400 * time.Millisecond
-	// skipTime is how long one that did is not drawn from.
+	// heartbeatsPerLease is the least number of draws that an entry sends during a lease.
+	heartbeatsPerLease = 3
+	// heartbeatTimePerEntry is multiplied by the number of entries for the least time between an
+	// entry's heartbeats, so that an allocator receives no more than a few hundred per second in
+	// total.
+	heartbeatTimePerEntry = 3 * time.Millisecond
+	// answerTimeout is how long a draw may be unanswered before the entry leaves its allocator.
+	answerTimeout = 400 * time.Millisecond
+	// skipTime is how long an allocator that did not answer is not a candidate.
 	skipTime = 3 * time.Second
-	// settleTime is how long another entry must have been the candidate before it is drawn
-	// from: the lists of entries that start differ.
-	settleTime = 300 * time.Millisecond
-	// shardSize is the number of accounts of one shard, mostShards bounds the shards.
-	shardSize  = 256
-	mostShards = 8
-	// mostNeeds bounds the needs of one draw, so that it fits a datagram.
-	mostNeeds = 16
+	// candidateDelay is how long another entry must have been the candidate before this entry
+	// draws from it: while entries start, their member lists differ.
+	candidateDelay = 300 * time.Millisecond
+	// accountsPerShard is the number of accounts per shard, maxShards the largest number of
+	// shards.
+	accountsPerShard = 256
+	maxShards        = 8
+	// maxNeeds bounds the needs of one draw, so that it fits into a datagram.
+	maxNeeds = 16
 )
 
-// shard is a part of the accounts, which one allocator serves.
+// shard is a subset of the accounts that is served by one allocator.
 type shard struct {
 	number uint32
-	// allocator is the entry to which this one lends its share, "" for none; sent is when
-	// it last drew, answered when that entry last answered.
-	allocator string
-	sent      time.Time
-	answered  time.Time
-	// lease is that of the last draw, until when the last of all ends: a draw of a shorter one
-	// may be lost.
-	lease time.Duration
-	until time.Time
-	// free is when the last lease has ended.
-	free time.Time
-	// candidate is the entry that should allocate, since when.
+	// allocator is the entry to which this one lends its share, or empty; lastDraw is when this
+	// entry last drew from the shard, lastAnswer when an allocator last answered.
+	allocator  string
+	lastDraw   time.Time
+	lastAnswer time.Time
+	// lease is the lease time of the last draw. leaseEnd is the latest end of all leases, since a
+	// later draw with a shorter lease may be lost.
+	lease    time.Duration
+	leaseEnd time.Time
+	// freeAt is when the last lease has ended and the share may be lent again.
+	freeAt time.Time
+	// candidate is the entry that should allocate, and candidateSince the time since when.
 	candidate      string
 	candidateSince time.Time
-	// unreported says that the allocator does not know yet what this entry holds.
-	unreported bool
-	// skipped are those that did not answer, until when.
-	skipped map[string]time.Time
+	// heldUnreported is set while the allocator does not yet know how much credit this entry
+	// holds.
+	heldUnreported bool
+	// skippedUntil has, for each entry that did not answer, the time until which it is skipped.
+	skippedUntil map[string]time.Time
 }
 
-// reshard divides the accounts among so many shards. Where the number changes, accounts
-// move: the new shards begin without a burst, once the leases of the old ones have ended.
+// reshard divides the accounts among count shards. If the number changes, accounts move between
+// shards: the new shards start without a burst, after the leases of the old ones have ended.
 func (q *Quota) reshard(count int, now time.Time) {
 	if len(q.shards) == count {
 		return
 	}
-	free := time.Time{}
+	freeAt := time.Time{}
 	for _, s := range q.shards {
-		free = later(free, later(s.until, now.Add(s.lease)))
+		freeAt = latest(freeAt, latest(s.leaseEnd, now.Add(s.lease)))
 	}
 	q.shards = nil
 	for i := range count {
-		q.shards = append(q.shards, &shard{number: uint32(count*mostShards + i), free: free, skipped: map[string]time.Time{}})
+		q.shards = append(q.shards, &shard{number: uint32(count*maxShards + i), freeAt: freeAt, skippedUntil: map[string]time.Time{}})
 	}
 }
 
-// shardOf returns an account's shard, nil before the first tick.
+// shardOf returns an account's shard, or nil before the first tick.
 func (q *Quota) shardOf(name string) *shard {
 	if len(q.shards) == 0 {
 		return nil
@@ -77,118 +80,120 @@
 	return q.shards[xxh3.HashString(name)%uint64(len(q.shards))]
 }
 
-// due returns a shard's draws: the end of a lease, the begin of one, or needs and a
-// heartbeat.
-func (q *Quota) due(s *shard, now time.Time, allocators []string, needs []*fleetv1.Need) []Message {
+// dueDraws returns the draws that are due for a shard: the end of a lease, the start of one, or
+// the needs and a heartbeat.
+func (q *Quota) dueDraws(s *shard, now time.Time, allocators []string, needs []*fleetv1.Need) []Message {
 	if candidate := s.elect(now, q.self, allocators); candidate != s.candidate {
 		s.candidate, s.candidateSince = candidate, now
 	}
 	switch {
-	case s.allocator == "" && now.Before(s.free):
+	case s.allocator == "" && now.Before(s.freeAt):
 		return nil
 	case s.allocator == "":
-		s.allocator, s.unreported = s.candidate, true
-		return []Message{q.draw(s, nil, nil)}
-	case s.moves(now, allocators):
-		return []Message{q.end(s)}
+		s.allocator, s.heldUnreported = s.candidate, true
+		return []Message{q.newDraw(s, nil, nil)}
+	case s.shouldMove(now, allocators):
+		return []Message{q.endLease(s)}
 	}
-	s.unreported = false
-	if len(needs) == 0 && now.Sub(s.sent) < s.lease/heartbeats {
+	s.heldUnreported = false
+	if len(needs) == 0 && now.Sub(s.lastDraw) < s.lease/heartbeatsPerLease {
 		return nil
 	}
-	messages := []Message{q.draw(s, needs[:min(mostNeeds, len(needs))], nil)}
-	for len(needs) > mostNeeds {
-		needs = needs[mostNeeds:]
-		messages = append(messages, q.draw(s, needs[:min(mostNeeds, len(needs))], nil))
+	messages := []Message{q.newDraw(s, needs[:min(maxNeeds, len(needs))], nil)}
+	for len(needs) > maxNeeds {
+		needs = needs[maxNeeds:]
+		messages = append(messages, q.newDraw(s, needs[:min(maxNeeds, len(needs))], nil))
 	}
 	return messages
 }
 
-// end ends the lease. The share is free once the allocator says so, or the lease is over.
-func (q *Quota) end(s *shard) Message {
-	message := q.draw(s, nil, nil)
+// endLease ends the lease. The share is free once the allocator confirms it or the lease expires.
+func (q *Quota) endLease(s *shard) Message {
+	message := q.newDraw(s, nil, nil)
 	message.draw.Leaves = true
-	q.pending[message.draw.GetNumber()].leaves = true
+	q.pending[message.draw.GetNumber()].releases = true
 	s.release()
 	return message
 }
 
-// moves says that the share should be lent to the candidate.
-func (s *shard) moves(now time.Time, allocators []string) bool {
+// shouldMove reports whether the share should be lent to the candidate instead.
+func (s *shard) shouldMove(now time.Time, allocators []string) bool {
 	ended := !slices.Contains(allocators, s.allocator)
-	return s.allocator != s.candidate && (ended || now.Sub(s.candidateSince) > settleTime)
+	return s.allocator != s.candidate && (ended || now.Sub(s.candidateSince) > candidateDelay)
 }
 
-// elect returns the entry that should allocate a shard, by rendezvous hashing: all that
-// know the same others agree on it. It is this entry where none of them answers.
+// elect returns the entry that should allocate a shard, by rendezvous hashing: all entries with
+// the same member list agree on it. It returns this entry if all others are skipped.
 func (s *shard) elect(now time.Time, self string, allocators []string) string {
 	best, score := self, uint64(0)
 	for _, address := range allocators {
-		if now.Before(s.skipped[address]) {
+		if now.Before(s.skippedUntil[address]) {
 			continue
 		}
-		if other := xxh3.HashStringSeed(address, uint64(s.number)); other >= score {
-			best, score = address, other
+		if hash := xxh3.HashStringSeed(address, uint64(s.number)); hash >= score {
+			best, score = address, hash
 		}
 	}
 	return best
 }
 
-// release ends the lending to an allocator; the share is free once the lease has ended.
+// release leaves the allocator; the share is free once the lease has ended.
 func (s *shard) release() {
 	s.allocator = ""
-	s.free = s.until
+	s.freeAt = s.leaseEnd
 }
 
-// heard notes that an allocator has answered.
-func (s *shard) heard(open *pending) {
-	s.answered = time.Now()
-	if open.leaves && s.allocator == "" {
-		s.free = s.answered
+// recordAnswer records that an allocator has answered a draw.
+func (s *shard) recordAnswer(p *pendingDraw) {
+	s.lastAnswer = time.Now()
+	if p.releases && s.allocator == "" {
+		s.freeAt = s.lastAnswer
 	}
 }
 
-// leaseTime is how long this entry lends its share with each draw.
+// leaseTime returns how long this entry lends its share with each draw.
 func (q *Quota) leaseTime() time.Duration {
-	return max(mtallocator.LeaseTime, heartbeats*lenderTime*time.Duration(q.Entries()))
+	return max(mtallocator.LeaseTime, heartbeatsPerLease*heartbeatTimePerEntry*time.Duration(q.Entries()))
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// draw makes a draw from a shard's allocator.
-func (q *Quota) draw(s *shard, needs []*fleetv1.Need, ticket *Ticket) Message {
-	q.number++
-	s.sent, s.lease = time.Now(), q.leaseTime()
-	s.until = later(s.until, s.sent.Add(s.lease))
-	q.pending[q.number] = &pending{shard: s, to: s.allocator, at: s.sent, ticket: ticket}
-	draw := &fleetv1.Draw{Shard: s.number, Run: q.run, Number: q.number, Needs: needs}
+// newDraw returns a draw from a shard's allocator and records it as pending.
+func (q *Quota) newDraw(s *shard, needs []*fleetv1.Need, ticket *Ticket) Message {
+	q.lastNumber++
+	s.lastDraw, s.lease = time.Now(), q.leaseTime()
+	s.leaseEnd = latest(s.leaseEnd, s.lastDraw.Add(s.lease))
+	q.pending[q.lastNumber] = &pendingDraw{shard: s, allocator: s.allocator, sent: s.lastDraw, ticket: ticket}
+	draw := &fleetv1.Draw{Shard: s.number, Run: q.run, Number: q.lastNumber, Needs: needs}
 	if s.lease > mtallocator.LeaseTime {
 		draw.Lease = uint32(s.lease.Milliseconds())
 	}
 	return Message{to: s.allocator, draw: draw}
 }
 
-// expire gives up draws whose answers do not come.
+// expire drops pending draws that timed out and leaves allocators that do not answer. After a
+// stall of this process it drops all of them, since the silence says nothing about the others.
 func (q *Quota) expire(now time.Time, stalled bool) {
-	for number, open := range q.pending {
-		s := open.shard
-		late := now.Sub(open.at) > silentTime && s.answered.Before(open.at)
+	for number, p := range q.pending {
+		s := p.shard
+		late := now.Sub(p.sent) > answerTimeout && s.lastAnswer.Before(p.sent)
 		switch {
-		case stalled || now.Sub(open.at) > askedTime:
+		case stalled || now.Sub(p.sent) > drawTimeout:
 			delete(q.pending, number)
-		case late && s.allocator == open.to && open.to != q.self:
-			s.skipped[open.to] = now.Add(skipTime)
+		case late && s.allocator == p.allocator && p.allocator != q.self:
+			s.skippedUntil[p.allocator] = now.Add(skipTime)
 			s.release()
 		}
 	}
 }
 
-// Allocating says that this entry allocates, and for how long it has.
+// Allocating reports whether this entry is the allocator of the first shard, and how long it has
+// been the candidate for it.
 func (q *Quota) Allocating() (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/admission/mtquota/shard_test.go
+++ b/internal/admission/mtquota/shard_test.go
@@ -12,9 +12,9 @@
 	"github.com/mustardtide/mustardtide/internal/admission/mtquota"
 )
 
-// Failure: accounts move to other shards as their number grows, and an allocator that has
-// granted a burst grants it again in another shard.
-func TestNewShardsBeginAfterTheOldLeases(t *testing.T) {
+// Failure: accounts move to other shards as their number grows, and an allocator that has granted
+// a burst grants it again in another shard.
+func TestNewShardsStartAfterOldLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		quota := mtquota.New("10.1.0.1:7340", bounds)
@@ -42,12 +42,12 @@
 	})
 }
 
-// Failure: an allocator that answers nobody is drawn from until it is forgotten, and all
-// requests without credit are refused.
-func TestSilentAllocatorIsLeft(t *testing.T) {
+// Failure: entries draw from an unresponsive allocator until it drops out of the member list, and
+// all requests without credit are refused in the meantime.
+func TestUnresponsiveAllocatorIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		// One of the two is the other's allocator, by their addresses.
+		// Rendezvous hashing of the addresses makes one of the two entries the other's allocator.
 		addresses := []string{"10.1.0.1:7340", "10.1.0.2:7340"}
 		for i, self := range addresses {
 			other := addresses[1-i]
@@ -60,18 +60,18 @@
 				time.Sleep(mtquota.TickTime)
 			}
 			g.Expect(last).To(Equal(self))
-			g.Expect(quota.Entries()).To(BeNumerically(">=", 2), "the silent one may use its share")
+			g.Expect(quota.Entries()).To(BeNumerically(">=", 2), "the unresponsive entry may use its share")
 		}
 	})
 }
 
-// Failure: each entry of a large fleet draws several times a second, and the allocator of
-// hundreds spends its time on heartbeats; or an entry lends its share elsewhere while an earlier,
-// longer lease may hold.
-func TestHeartbeatsOfALargeFleet(t *testing.T) {
+// Failure: each entry of a large fleet draws several times a second, and an allocator with
+// hundreds of lenders spends its time on heartbeats; or an entry lends its share elsewhere while
+// an earlier, longer lease may still be valid.
+func TestLargeFleetHeartbeatRate(t *testing.T) {
 	for _, c := range []struct {
-		entries, most int
-		lease         uint32
+		entries, maxDraws int
+		lease             uint32
 	}{{4, 50, 0}, {30, 50, 0}, {356, 10, 3204}, {712, 5, 6408}} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
@@ -85,7 +85,7 @@
 				}
 				time.Sleep(mtquota.TickTime)
 			}
-			g.Expect(draws).To(BeNumerically("<=", c.most+2), "10 s of %d entries", c.entries)
+			g.Expect(draws).To(BeNumerically("<=", c.maxDraws+2), "10 s of %d entries", c.entries)
 			g.Expect(float64(draws*c.entries) / 10).To(BeNumerically("<", 360))
 			g.Expect(last.GetLease()).To(Equal(c.lease))
 		})
--- a/internal/admission/mtquota/status.go
+++ b/internal/admission/mtquota/status.go
@@ -10,10 +10,10 @@
 	fleetv1 "github.com/mustardtide/mustardtide/gen/mustardtide/fleet/v1"
 )
 
-// overTime is how long after a refusal an account counts as over its quota.
-const overTime = 2 * time.Second
+// overQuotaTime is how long after a refusal an account counts as over its quota.
+const overQuotaTime = 2 * time.Second
 
-// Usages lists the accounts in use here, by their names.
+// Usages returns the usage of the accounts in use at this entry, sorted by name.
 func (q *Quota) Usages() []*fleetv1.Usage {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -25,7 +25,7 @@
 	return list
 }
 
-// Usage returns that of one account, empty where it is not in use here.
+// Usage returns the usage of one account, or an empty one if it is not in use at this entry.
 func (q *Quota) Usage(name string) *fleetv1.Usage {
 	found, ok := q.accounts.Load(name)
 	if !ok {
@@ -40,15 +40,15 @@
 	u := &fleetv1.Usage{
 		Account: a.name, Rate: a.limit.Load().GetRate(), Demand: a.demand, Held: a.credit.Load(),
 		Admitted: a.totals.admitted.Load(), Refused: a.totals.refused.Load(), Drawn: a.totals.drawn.Load(),
-		Over: !a.exceeded.IsZero() && time.Since(a.exceeded) < overTime,
+		Over: !a.lastRefused.IsZero() && time.Since(a.lastRefused) < overQuotaTime,
 	}
-	if s := q.shardOf(a.name); s != nil && s.allocator != "" && !s.answered.IsZero() {
-		u.Allocator, u.Heard = s.allocator, durationpb.New(time.Since(s.answered))
+	if s := q.shardOf(a.name); s != nil && s.allocator != "" && !s.lastAnswer.IsZero() {
+		u.Allocator, u.Heard = s.allocator, durationpb.New(time.Since(s.lastAnswer))
 	}
 	return u
 }
 
-// Allocator is the entry from which an account's credit is drawn, "" for none.
+// Allocator returns the entry from which an account's credit is drawn, or "" if there is none.
 func (q *Quota) Allocator(name string) string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/admission/mtquota/tick.go
+++ b/internal/admission/mtquota/tick.go
@@ -9,79 +9,80 @@
 )
 
 const (
-	// TickTime is how often Tick is called.
+	// TickTime is the interval at which callers must call Tick.
 	TickTime = 50 * time.Millisecond
-	// stallTime is the time between two ticks that shows that this process stood still:
-	// silence says nothing of the others then.
-	stallTime = 250 * time.Millisecond
-	// learnTime is how long an entry that starts waits until it lends its share: it hears
-	// of most others within that time.
-	learnTime = 100 * time.Millisecond
-	// demandTime is over how long demand is averaged; aheadTime is the demand that is
-	// drawn ahead, besides the largest request of late.
-	demandTime = time.Second
-	aheadTime  = 500 * time.Millisecond
-	// largeTimes is how many times longer the largest request is remembered than demand.
-	largeTimes = 3
+	// stallThreshold is the time between two ticks from which on this process counts as stalled:
+	// missing answers then say nothing about the others.
+	stallThreshold = 250 * time.Millisecond
+	// discoveryTime is how long an entry waits after its start before it lends its share: it
+	// hears from most others within that time.
+	discoveryTime = 100 * time.Millisecond
+	// demandWindow is the averaging window for demand. drawAheadTime is the time whose demand is
+	// drawn in advance, in addition to the largest recent request.
+	demandWindow  = time.Second
+	drawAheadTime = 500 * time.Millisecond
+	// largestWindowFactor is how many times longer the largest request is remembered than demand.
+	largestWindowFactor = 3
 )
 
-// Tick brings the quotas up to this moment and returns the draws that are due. limited is
-// the number of accounts with a quota, serving the other entries that are not about to
-// end, live all others that were heard of.
+// Tick updates the quotas and returns the draws that are due. limited is the number of accounts
+// with a quota, serving the other entries that are not about to end, live all other entries heard
+// from.
 func (q *Quota) Tick(limited int, serving, live []string) []Message {
 	return q.TickAmong(limited, append(slices.Clone(serving), q.self), live)
 }
 
-// TickAmong is Tick where only some entries allocate, which may leave out this one.
+// TickAmong is like Tick for a fleet where only the given entries allocate. They need not include
+// this one.
 func (q *Quota) TickAmong(limited int, allocators, live []string) []Message {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	passed := now.Sub(q.ticked)
-	q.ticked = now
-	q.remember(now, live)
-	q.expire(now, passed > stallTime)
-	if limited == 0 || now.Sub(q.begun) < learnTime {
+	elapsed := now.Sub(q.lastTick)
+	q.lastTick = now
+	q.updateSize(now, live)
+	q.expire(now, elapsed > stallThreshold)
+	if limited == 0 || now.Sub(q.started) < discoveryTime {
 		return nil
 	}
-	q.reshard(min(mostShards, 1+limited/shardSize), now)
+	q.reshard(min(maxShards, 1+limited/accountsPerShard), now)
 	needs := map[*shard][]*fleetv1.Need{}
 	for _, value := range q.accounts.Range {
 		a := value.(*account)
-		a.forecast(now, passed)
+		a.updateDemand(now, elapsed)
 		a.floor.Store(-int64(mtmargin.Of(a.limit.Load(), q.bounds).Debt(q.Entries())))
 		s := q.shardOf(a.name)
-		if need := a.need(now.Sub(q.begun), s); need != nil {
+		if need := a.need(now.Sub(q.started), s); need != nil {
 			needs[s] = append(needs[s], need)
 		}
 	}
 	var messages []Message
 	for _, s := range q.shards {
-		messages = append(messages, q.due(s, now, allocators, needs[s])...)
+		messages = append(messages, q.dueDraws(s, now, allocators, needs[s])...)
 	}
 	return messages
 }
 
-// forecast averages the account's demand.
-func (a *account) forecast(now time.Time, passed time.Duration) {
-	if a.over.Swap(false) {
-		a.exceeded = now
+// updateDemand updates the account's moving averages since the last tick.
+func (a *account) updateDemand(now time.Time, elapsed time.Duration) {
+	if a.refusedSinceTick.Swap(false) {
+		a.lastRefused = now
 	}
-	if passed <= 0 {
+	if elapsed <= 0 {
 		return
 	}
-	rate := float64(a.wanted.Swap(0)) / passed.Seconds()
-	part := min(1, passed.Seconds()/demandTime.Seconds())
-	a.demand += (rate - a.demand) * part
-	a.large = max(float64(a.largest.Swap(0)), a.large*(1-part/largeTimes))
+	rate := float64(a.requested.Swap(0)) / elapsed.Seconds()
+	weight := min(1, elapsed.Seconds()/demandWindow.Seconds())
+	a.demand += (rate - a.demand) * weight
+	a.recentLargest = max(float64(a.largestSinceTick.Swap(0)), a.recentLargest*(1-weight/largestWindowFactor))
 }
 
-// need returns what an account should draw or give back, nil for nothing.
-func (a *account) need(since time.Duration, s *shard) *fleetv1.Need {
+// need returns what an account should draw or return, or nil if nothing.
+func (a *account) need(uptime time.Duration, s *shard) *fleetv1.Need {
 	if s.allocator == "" {
 		return nil
 	}
-	target := int64(a.demand*aheadTime.Seconds() + a.large)
+	target := int64(a.demand*drawAheadTime.Seconds() + a.recentLargest)
 	credit, floor := a.credit.Load(), a.floor.Load()
 	switch {
 	case credit < floor:
@@ -92,9 +93,9 @@
 			return nil
 		}
 		return &fleetv1.Need{Account: a.name, Held: target, Returned: credit - target}
-	case credit < target/2 && int64(since) >= a.blocked.Load():
+	case credit < target/2 && int64(uptime) >= a.blockedUntil.Load():
 		return &fleetv1.Need{Account: a.name, Held: credit, Ahead: target - credit}
-	case s.unreported && credit > 0:
+	case s.heldUnreported && credit > 0:
 		return &fleetv1.Need{Account: a.name, Held: credit}
 	default:
 		return nil
--- a/internal/admission/mtquota/verdict.go
+++ b/internal/admission/mtquota/verdict.go
@@ -6,37 +6,37 @@
 	fleetv1 "github.com/mustardtide/mustardtide/gen/mustardtide/fleet/v1"
 )
 
-// Verdict is what becomes of a request: Admitted, Waiting or Refused.
+// Verdict is the decision on a request: Admitted, Waiting or Refused.
 type Verdict interface{ verdict() }
 
-// Admitted is a request whose cost was taken.
+// Admitted means that the request's cost was deducted.
 type Admitted struct{}
 
-// Waiting is a request for which credit is drawn.
+// Waiting means that the request waits for credit that must be drawn.
 type Waiting struct{ ticket *Ticket }
 
-// Ticket is what stands for the request until it is decided on.
+// Ticket returns the ticket by which to resolve the request.
 func (w Waiting) Ticket() *Ticket { return w.ticket }
 
-// Refused is a request over its account's quota, or for which no credit is to be had.
+// Refused means that the request exceeds its account's quota, or that no credit is available.
 type Refused struct {
-	again time.Duration
-	why   string
+	retryAfter time.Duration
+	reason     string
 }
 
-// Again is when the caller should come back.
-func (r Refused) Again() time.Duration { return r.again }
+// Again returns after what delay the caller should retry.
+func (r Refused) Again() time.Duration { return r.retryAfter }
 
-// Why says what was decided on.
-func (r Refused) Why() string { return r.why }
+// Why returns the reason for the refusal.
+func (r Refused) Why() string { return r.reason }
 
-// Reasons of refusals.
+// Reasons for refusals.
 const (
-	whyLarge   = "the request is larger than the quota allows at once"
-	whyBlocked = "the quota was used up when credit was drawn last"
-	whyNobody  = "no allocator is drawn from at this moment"
-	whySilent  = "the allocator has not answered in time"
-	whyUsedUp  = "the quota is used up"
+	reasonTooLarge    = "the request is larger than the quota allows at once"
+	reasonBlocked     = "the quota was used up at the last draw"
+	reasonNoAllocator = "no allocator is available at this moment"
+	reasonNoAnswer    = "the allocator did not answer in time"
+	reasonUsedUp      = "the quota is used up"
 )
 
 func (Admitted) verdict() {}
@@ -47,29 +47,29 @@
 type Ticket struct {
 	account *account
 	cost    int64
-	// part is what was taken from the entry's credit; the rest of the cost is drawn.
-	part    int64
-	message Message
-	done    chan struct{}
-	granted bool
-	// left says that the request no longer waits: what is granted is credit for others.
-	left bool
+	// reserved is the part of the cost taken from the entry's credit; the rest is drawn.
+	reserved int64
+	message  Message
+	done     chan struct{}
+	granted  bool
+	// resolved is set once the request no longer waits: credit granted later goes to others.
+	resolved bool
 }
 
-// Message is the draw that must be sent for it.
+// Message returns the draw that the caller must send for the request.
 func (t *Ticket) Message() Message { return t.message }
 
-// Done is closed once the draw is answered.
+// Done returns a channel that is closed once the draw is answered.
 func (t *Ticket) Done() <-chan struct{} { return t.done }
 
-// Message is a draw and the entry to which it goes.
+// Message is a draw and its destination.
 type Message struct {
 	to   string
 	draw *fleetv1.Draw
 }
 
-// To is the address of an entry, maybe this one.
-func (l Message) To() string { return l.to }
+// To returns the address of the entry to send to, which may be this one.
+func (m Message) To() string { return m.to }
 
-// Draw is what it is asked.
-func (l Message) Draw() *fleetv1.Draw { return l.draw }
+// Draw returns the draw to send.
+func (m Message) Draw() *fleetv1.Draw { return m.draw }
