--- a/internal/admission/mtallocator/size_test.go
+++ b/internal/admission/mtallocator/size_test.go
@@ -9,8 +9,8 @@
 	fleetv1 "github.com/mustardtide/mustardtide/gen/mustardtide/fleet/v1"
 )
 
-// What an entry sends for the quotas stays within a share of the 5 KB a second that
-// control may take: heartbeats to eight allocators, and needs of the accounts in use.
+// What an entry sends for the quotas stays within a share of the 5 KB per second that control
+// traffic may use: heartbeats to eight allocators, and needs of the accounts in use.
 func TestDrawsAreSmall(t *testing.T) {
 	g := NewWithT(t)
 	const header = 28
