--- a/internal/admission/mtallowance/allowance.go
+++ b/internal/admission/mtallowance/allowance.go
@@ -1,12 +1,12 @@
-// Package mtallowance bounds how often one entry sends a request again, so that
-// all entries together stay within the fleet's bound for a service.
+// Package mtallowance limits how often one entry retries requests, so that all entries together
+// stay within the fleet's retry bound for a service.
 //
-// The load it answers is a service that rejects or fails much: without a bound
-// each failed request is sent once more, just when there is least to spare. The
-// fleet's bound is, for any window, a ratio of the service's requests and some
-// slack. Entries do not ask each other: each spends the ratio of its own
-// requests and an equal part of the slack, once it has run for a window: the process before
-// it may have spent that part, and it does not know yet how many entries there are.
+// It protects a service that rejects or fails many requests: without a bound, each failed request
+// is sent once more just when capacity is scarcest. In any window, the fleet's bound is a ratio
+// of the service's requests plus some slack. Entries do not coordinate: each uses the ratio of
+// its own requests and an equal part of the slack. It gets the slack only once it has run for a
+// window: the process before it may have used that part, and it does not know yet how many
+// entries there are.
 package mtallowance
 
 import (
@@ -15,32 +15,32 @@
 )
 
 const (
-	// buckets divide the window; a request counts for one bucket longer than
-	// the window, which errs on the side of fewer repeats.
+	// buckets is the number of buckets in a window. A request counts for one bucket longer than
+	// the window, which errs on the side of fewer retries.
 	buckets = 10
-	// margin is the part of the fleet's bound that is spent: what is left covers
-	// entries that do not know of each other yet, and uneven clocks.
-	margin = 0.7
-	// fewest is the least number of entries that the slack is divided by.
-	fewest = 4
+	// usablePart is the part of the fleet's bound that is used. The rest covers entries that do
+	// not know of each other yet, and clock differences.
+	usablePart = 0.7
+	// minEntries is the least number of entries that the slack is divided by.
+	minEntries = 4
 )
 
-// Allowance is one service's at one entry. It is safe for concurrent use.
+// Allowance is one entry's retry budget for one service. It is safe for concurrent use.
 type Allowance struct {
 	ratio  float64
 	slack  float64
 	bucket time.Duration
-	// started is monotonic: a step of the wall clock moves no bucket.
+	// started has a monotonic clock reading, so steps of the wall clock do not move buckets.
 	started time.Time
 
 	mu       sync.Mutex
 	requests [buckets + 1]float64
-	repeats  [buckets + 1]float64
+	retries  [buckets + 1]float64
 	current  int64
 }
 
-// New returns an allowance for a fleet's bound: ratio of the requests and slack in each
-// window. started is when the entry's process was.
+// New returns the budget for a fleet's bound: ratio of the requests plus slack in each window.
+// started is the start time of the entry's process.
 func New(ratio, slack float64, window time.Duration, started time.Time) *Allowance {
 	return &Allowance{ratio: ratio, slack: slack, bucket: max(window/buckets, time.Millisecond), started: started}
 }
@@ -52,51 +52,50 @@
 	a.requests[a.advance()]++
 }
 
-// Take says whether a request may be sent once more, and counts it.
+// Take reports whether a request may be retried, and counts the retry if so.
 func (a *Allowance) Take(entries int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := a.advance()
-	if a.left(entries) < 1 {
+	index := a.advance()
+	if a.remainingLocked(entries) < 1 {
 		return false
 	}
-	a.repeats[now]++
+	a.retries[index]++
 	return true
 }
 
-// Left is how many repeats remain at this moment.
+// Left returns how many retries remain at this moment.
 func (a *Allowance) Left(entries int) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance()
-	return a.left(entries)
+	return a.remainingLocked(entries)
 }
 
-// left is the bound less what was spent; the allowance is locked.
-func (a *Allowance) left(entries int) float64 {
-	part := 0.0
+// remainingLocked returns the bound less the retries counted. The caller holds mu.
+func (a *Allowance) remainingLocked(entries int) float64 {
+	slackShare := 0.0
 	if a.current > buckets {
-		part = a.slack / float64(max(entries, fewest))
+		slackShare = a.slack / float64(max(entries, minEntries))
 	}
-	return margin*(a.ratio*sum(a.requests)+part) - sum(a.repeats)
+	return usablePart*(a.ratio*sum(a.requests)+slackShare) - sum(a.retries)
 }
 
-// advance clears the buckets that have left the window and returns the present
-// one.
+// advance clears the buckets that have left the window and returns the index of the current one.
 func (a *Allowance) advance() int {
 	const ring = buckets + 1
 	now := int64(time.Since(a.started) / a.bucket)
 	for n := max(a.current+1, now-ring+1); n <= now; n++ {
 		a.requests[n%ring] = 0
-		a.repeats[n%ring] = 0
+		a.retries[n%ring] = 0
 	}
 	a.current = max(a.current, now)
 	return int(a.current % ring)
 }
 
-func sum(list [buckets + 1]float64) float64 {
+func sum(values [buckets + 1]float64) float64 {
 	var total float64
-	for _, n := range list {
+	for _, n := range values {
 		total += n
 	}
 	return total
--- a/internal/admission/mtallowance/allowance_test.go
+++ b/internal/admission/mtallowance/allowance_test.go
@@ -11,9 +11,9 @@
 	"github.com/mustardtide/mustardtide/internal/admission/mtallowance"
 )
 
-// A service fails everything while callers press, in bursts and pauses. In no
-// window may all entries together send more again than the fleet's bound.
-func TestNoWindowGoesOverTheBound(t *testing.T) {
+// A service fails every request while callers send in bursts and pauses. In no window may all
+// entries together retry more often than the fleet's bound allows.
+func TestNoWindowExceedsBound(t *testing.T) {
 	const entries, ratio, slack, window = 4, 0.2, 50.0, 10 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
 		bursts := rapid.SliceOfN(rapid.IntRange(0, 60), 1, 80).Draw(rt, "bursts")
@@ -23,26 +23,26 @@
 			for range entries {
 				fleet = append(fleet, mtallowance.New(ratio, slack, window, time.Now().Add(-2*window)))
 			}
-			type moment struct{ requests, repeats int }
-			var past []moment
+			type step struct{ requests, retries int }
+			var past []step
 			for _, burst := range bursts {
-				var m moment
+				var m step
 				for i := range burst {
 					a := fleet[i%entries]
 					a.Request()
 					m.requests++
 					if a.Take(entries) {
-						m.repeats++
+						m.retries++
 					}
 				}
 				past = append(past, m)
-				// Forty moments are a window.
-				var requests, repeats int
+				// 40 steps are one window.
+				var requests, retries int
 				for _, p := range past[max(0, len(past)-40):] {
 					requests += p.requests
-					repeats += p.repeats
+					retries += p.retries
 				}
-				if float64(repeats) > ratio*float64(requests)+slack {
+				if float64(retries) > ratio*float64(requests)+slack {
 					over++
 				}
 				time.Sleep(window / 40)
@@ -54,7 +54,7 @@
 	})
 }
 
-// A quiet service still has some repeats, and spends them once in a window.
+// A service without traffic still has some retries, and can use them once per window.
 func TestSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -72,39 +72,39 @@
 	})
 }
 
-// Failure: all entries restart while a service fails everything, and each spends its part of the
-// slack once more within the window, or that of a fleet of which it knows a few.
-func TestRestartOfAllBringsNoMoreRepeats(t *testing.T) {
+// Failure: all entries restart while a service fails everything, and within the window each uses
+// its part of the slack once more, or the part for the smaller fleet that it knows so far.
+func TestFullRestartAddsNoRetries(t *testing.T) {
 	const ratio, slack, window = 0.2, 50.0, 10 * time.Second
 	for _, entries := range []int{4, 30, 356} {
 		synctest.Test(t, func(t *testing.T) {
-			requests, repeats := 0, 0
+			requests, retries := 0, 0
 			fleet := make([]*mtallowance.Allowance, entries)
 			start := func() {
 				for i := range fleet {
 					fleet[i] = mtallowance.New(ratio, slack, window, time.Now())
 				}
 			}
-			press := func(known int) {
+			send := func(known int) {
 				for range max(1, 100/entries) {
 					for _, a := range fleet {
 						a.Request()
 						requests++
 						if a.Take(known) {
-							repeats++
+							retries++
 						}
 					}
 				}
 			}
 			start()
 			time.Sleep(window)
-			press(entries)
+			send(entries)
 			for range 3 {
 				start()
 				time.Sleep(time.Second)
-				press(2)
+				send(2)
 			}
-			NewWithT(t).Expect(float64(repeats)).To(BeNumerically("<=", ratio*float64(requests)+slack), "%d entries", entries)
+			NewWithT(t).Expect(float64(retries)).To(BeNumerically("<=", ratio*float64(requests)+slack), "%d entries", entries)
 		})
 	}
 }
