--- a/internal/admission/mtallocator/allocator.go
+++ b/internal/admission/mtallocator/allocator.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// LeaseTime is the shortest time for which an entry's share stays lent after its last draw,
+	// MinLeaseTime is the shortest time for which an entry's share stays lent after its last draw,
 	// maxLeaseTime the longest.
-	LeaseTime    = 600 * time.Millisecond
+	MinLeaseTime = 600 * time.Millisecond
 	maxLeaseTime = 30 * time.Second
 	// shardResetGap is the time without any draw after which a shard starts anew: its lenders
 	// have lent their shares to others, or the process was frozen.
@@ -122,7 +122,7 @@
 	}
 	reordered := draw.GetNumber() < l.newest
 	if !reordered {
-		l.lastDraw, l.lease = now, min(maxLeaseTime, max(LeaseTime, time.Duration(draw.GetLease())*time.Millisecond))
+		l.lastDraw, l.lease = now, min(maxLeaseTime, max(MinLeaseTime, time.Duration(draw.GetLease())*time.Millisecond))
 		l.released = draw.GetLeaves()
 	}
 	s.count(now, entries, !known || l.released)
--- a/internal/admission/mtallocator/allocator_test.go
+++ b/internal/admission/mtallocator/allocator_test.go
@@ -215,7 +215,7 @@
 		one.renewLease(4 * drawInterval)
 		two.draw(0, 0)
 		for range 2 {
-			time.Sleep(mtallocator.LeaseTime / 2)
+			time.Sleep(mtallocator.MinLeaseTime / 2)
 			one.draw(0, 0)
 		}
 		for one.draw(10, 0) > 0 {
--- a/internal/admission/mtallowance/allowance.go
+++ b/internal/admission/mtallowance/allowance.go
@@ -25,8 +25,8 @@
 	minEntries = 4
 )
 
-// Allowance is one entry's retry budget for one service. It is safe for concurrent use.
-type Allowance struct {
+// RetryBudget is one entry's retry budget for one service. It is safe for concurrent use.
+type RetryBudget struct {
 	ratio  float64
 	slack  float64
 	bucket time.Duration
@@ -41,19 +41,19 @@
 
 // New returns the budget for a fleet's bound: ratio of the requests plus slack in each window.
 // started is the start time of the entry's process.
-func New(ratio, slack float64, window time.Duration, started time.Time) *Allowance {
-	return &Allowance{ratio: ratio, slack: slack, bucket: max(window/buckets, time.Millisecond), started: started}
+func New(ratio, slack float64, window time.Duration, started time.Time) *RetryBudget {
+	return &RetryBudget{ratio: ratio, slack: slack, bucket: max(window/buckets, time.Millisecond), started: started}
 }
 
-// Request counts a caller's request.
-func (a *Allowance) Request() {
+// CountRequest counts a caller's request.
+func (a *RetryBudget) CountRequest() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requests[a.advance()]++
 }
 
-// Take reports whether a request may be retried, and counts the retry if so.
-func (a *Allowance) Take(entries int) bool {
+// TryRetry reports whether a request may be retried, and counts the retry if so.
+func (a *RetryBudget) TryRetry(entries int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	index := a.advance()
@@ -64,8 +64,8 @@
 	return true
 }
 
-// Left returns how many retries remain at this moment.
-func (a *Allowance) Left(entries int) float64 {
+// Remaining returns how many retries remain at this moment.
+func (a *RetryBudget) Remaining(entries int) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance()
@@ -73,7 +73,7 @@
 }
 
 // remainingLocked returns the bound less the retries counted. The caller holds mu.
-func (a *Allowance) remainingLocked(entries int) float64 {
+func (a *RetryBudget) remainingLocked(entries int) float64 {
 	slackShare := 0.0
 	if a.current > buckets {
 		slackShare = a.slack / float64(max(entries, minEntries))
@@ -82,7 +82,7 @@
 }
 
 // advance clears the buckets that have left the window and returns the index of the current one.
-func (a *Allowance) advance() int {
+func (a *RetryBudget) advance() int {
 	const ring = buckets + 1
 	now := int64(time.Since(a.started) / a.bucket)
 	for n := max(a.current+1, now-ring+1); n <= now; n++ {
--- a/internal/admission/mtallowance/allowance_test.go
+++ b/internal/admission/mtallowance/allowance_test.go
@@ -19,7 +19,7 @@
 		bursts := rapid.SliceOfN(rapid.IntRange(0, 60), 1, 80).Draw(rt, "bursts")
 		over := 0
 		synctest.Test(t, func(*testing.T) {
-			var fleet []*mtallowance.Allowance
+			var fleet []*mtallowance.RetryBudget
 			for range entries {
 				fleet = append(fleet, mtallowance.New(ratio, slack, window, time.Now().Add(-2*window)))
 			}
@@ -29,9 +29,9 @@
 				var m step
 				for i := range burst {
 					a := fleet[i%entries]
-					a.Request()
+					a.CountRequest()
 					m.requests++
-					if a.Take(entries) {
+					if a.TryRetry(entries) {
 						m.retries++
 					}
 				}
@@ -61,14 +61,14 @@
 		a := mtallowance.New(0.2, 40, 10*time.Second, time.Now().Add(-11*time.Second))
 		taken := 0
 		for range 100 {
-			if a.Take(4) {
+			if a.TryRetry(4) {
 				taken++
 			}
 		}
 		g.Expect(taken).To(Equal(7))
 		time.Sleep(12 * time.Second)
-		g.Expect(a.Take(4)).To(BeTrue())
-		g.Expect(a.Left(4)).To(BeNumerically("~", 6, 0.01))
+		g.Expect(a.TryRetry(4)).To(BeTrue())
+		g.Expect(a.Remaining(4)).To(BeNumerically("~", 6, 0.01))
 	})
 }
 
@@ -79,7 +79,7 @@
 	for _, entries := range []int{4, 30, 356} {
 		synctest.Test(t, func(t *testing.T) {
 			requests, retries := 0, 0
-			fleet := make([]*mtallowance.Allowance, entries)
+			fleet := make([]*mtallowance.RetryBudget, entries)
 			start := func() {
 				for i := range fleet {
 					fleet[i] = mtallowance.New(ratio, slack, window, time.Now())
@@ -88,9 +88,9 @@
 			send := func(known int) {
 				for range max(1, 100/entries) {
 					for _, a := range fleet {
-						a.Request()
+						a.CountRequest()
 						requests++
-						if a.Take(known) {
+						if a.TryRetry(known) {
 							retries++
 						}
 					}
--- a/internal/admission/mtlimiter/fleet_test.go
+++ b/internal/admission/mtlimiter/fleet_test.go
@@ -163,7 +163,7 @@
 		e.told = e.told.Add(digestTime)
 		e.tell()
 	}
-	if time.Since(e.ticked) < mtquota.TickTime || !e.limiter.Due() {
+	if time.Since(e.ticked) < mtquota.TickInterval || !e.limiter.Due() {
 		return
 	}
 	e.ticked = time.Now()
--- a/internal/admission/mtlimiter/limiter.go
+++ b/internal/admission/mtlimiter/limiter.go
@@ -94,7 +94,7 @@
 	if !l.Limited(target) {
 		return 0
 	}
-	return l.quota.Blocked(target)
+	return l.quota.BlockedFor(target)
 }
 
 // account stands for a target's limit; nil where it has none.
@@ -125,7 +125,7 @@
 	l.ticked = now
 	l.quota.SetPeerSize(entries)
 	l.retain(now)
-	messages := l.quota.TickAmong(limited, allocators, live)
+	messages := l.quota.TickWithAllocators(limited, allocators, live)
 	for _, message := range messages {
 		l.tell(message)
 	}
--- a/internal/admission/mtquota/account.go
+++ b/internal/admission/mtquota/account.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// Blocked returns for how long an account that has used up its quota may draw no credit, or 0 if
+// BlockedFor returns for how long an account that has used up its quota may draw no credit, or 0 if
 // it may draw now.
-func (q *Quota) Blocked(name string) time.Duration {
+func (q *Quota) BlockedFor(name string) time.Duration {
 	found, ok := q.accounts.Load(name)
 	if !ok || found.(*account).credit.Load() > 0 {
 		return 0
--- a/internal/admission/mtquota/fleet_test.go
+++ b/internal/admission/mtquota/fleet_test.go
@@ -164,7 +164,7 @@
 			f.gossip()
 		}
 		for _, e := range f.entries {
-			if !e.down && !e.frozen && time.Since(e.lastTick) >= mtquota.TickTime {
+			if !e.down && !e.frozen && time.Since(e.lastTick) >= mtquota.TickInterval {
 				e.tick()
 			}
 		}
--- a/internal/admission/mtquota/settle_test.go
+++ b/internal/admission/mtquota/settle_test.go
@@ -70,7 +70,7 @@
 // step advances the time by settleStep.
 func (s *settleFleet) step() {
 	time.Sleep(settleStep)
-	if time.Since(s.lastTick) < mtquota.TickTime {
+	if time.Since(s.lastTick) < mtquota.TickInterval {
 		return
 	}
 	s.lastTick = time.Now()
--- a/internal/admission/mtquota/shard.go
+++ b/internal/admission/mtquota/shard.go
@@ -153,7 +153,7 @@
 
 // leaseTime returns how long this entry lends its share with each draw.
 func (q *Quota) leaseTime() time.Duration {
-	return max(mtallocator.LeaseTime, heartbeatsPerLease*heartbeatTimePerEntry*time.Duration(q.Entries()))
+	return max(mtallocator.MinLeaseTime, heartbeatsPerLease*heartbeatTimePerEntry*time.Duration(q.Entries()))
 }
 
 func latest(a, b time.Time) time.Time {
@@ -170,7 +170,7 @@
 	s.leaseEnd = latest(s.leaseEnd, s.lastDraw.Add(s.lease))
 	q.pending[q.lastNumber] = &pendingDraw{shard: s, allocator: s.allocator, sent: s.lastDraw, ticket: ticket}
 	draw := &fleetv1.Draw{Shard: s.number, Run: q.run, Number: q.lastNumber, Needs: needs}
-	if s.lease > mtallocator.LeaseTime {
+	if s.lease > mtallocator.MinLeaseTime {
 		draw.Lease = uint32(s.lease.Milliseconds())
 	}
 	return Message{to: s.allocator, draw: draw}
--- a/internal/admission/mtquota/shard_test.go
+++ b/internal/admission/mtquota/shard_test.go
@@ -23,7 +23,7 @@
 			for _, message := range quota.Tick(10, nil, nil) {
 				before[message.Draw().GetShard()] = true
 			}
-			time.Sleep(mtquota.TickTime)
+			time.Sleep(mtquota.TickInterval)
 		}
 		g.Expect(before).To(HaveLen(1))
 		changed := time.Now()
@@ -35,10 +35,10 @@
 				}
 				g.Expect(before).NotTo(HaveKey(message.Draw().GetShard()))
 			}
-			time.Sleep(mtquota.TickTime)
+			time.Sleep(mtquota.TickInterval)
 		}
-		g.Expect(first).To(BeNumerically(">=", mtallocator.LeaseTime))
-		g.Expect(first).To(BeNumerically("<", 2*mtallocator.LeaseTime))
+		g.Expect(first).To(BeNumerically(">=", mtallocator.MinLeaseTime))
+		g.Expect(first).To(BeNumerically("<", 2*mtallocator.MinLeaseTime))
 	})
 }
 
@@ -57,7 +57,7 @@
 				for _, message := range quota.Tick(1, []string{other}, []string{other}) {
 					last = message.To()
 				}
-				time.Sleep(mtquota.TickTime)
+				time.Sleep(mtquota.TickInterval)
 			}
 			g.Expect(last).To(Equal(self))
 			g.Expect(quota.Entries()).To(BeNumerically(">=", 2), "the unresponsive entry may use its share")
@@ -83,7 +83,7 @@
 				for _, message := range quota.Tick(1, []string{"10.1.0.2:7340"}, nil) {
 					draws, last = draws+1, message.Draw()
 				}
-				time.Sleep(mtquota.TickTime)
+				time.Sleep(mtquota.TickInterval)
 			}
 			g.Expect(draws).To(BeNumerically("<=", c.maxDraws+2), "10 s of %d entries", c.entries)
 			g.Expect(float64(draws*c.entries) / 10).To(BeNumerically("<", 360))
--- a/internal/admission/mtquota/tick.go
+++ b/internal/admission/mtquota/tick.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// TickTime is the interval at which callers must call Tick.
-	TickTime = 50 * time.Millisecond
+	// TickInterval is the interval at which callers must call Tick.
+	TickInterval = 50 * time.Millisecond
 	// stallThreshold is the time between two ticks from which on this process counts as stalled:
 	// missing answers then say nothing about the others.
 	stallThreshold = 250 * time.Millisecond
@@ -29,12 +29,12 @@
 // with a quota, serving the other entries that are not about to end, live all other entries heard
 // from.
 func (q *Quota) Tick(limited int, serving, live []string) []Message {
-	return q.TickAmong(limited, append(slices.Clone(serving), q.self), live)
+	return q.TickWithAllocators(limited, append(slices.Clone(serving), q.self), live)
 }
 
-// TickAmong is like Tick for a fleet where only the given entries allocate. They need not include
+// TickWithAllocators is like Tick for a fleet where only the given entries allocate. They need not include
 // this one.
-func (q *Quota) TickAmong(limited int, allocators, live []string) []Message {
+func (q *Quota) TickWithAllocators(limited int, allocators, live []string) []Message {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
--- a/internal/admission/mtquota/verdict.go
+++ b/internal/admission/mtquota/verdict.go
@@ -24,11 +24,11 @@
 	reason     string
 }
 
-// Again returns after what delay the caller should retry.
-func (r Refused) Again() time.Duration { return r.retryAfter }
+// RetryAfter returns after what delay the caller should retry.
+func (r Refused) RetryAfter() time.Duration { return r.retryAfter }
 
-// Why returns the reason for the refusal.
-func (r Refused) Why() string { return r.reason }
+// Reason returns the reason for the refusal.
+func (r Refused) Reason() string { return r.reason }
 
 // Reasons for refusals.
 const (
--- a/internal/members/mtcensus/census_test.go
+++ b/internal/members/mtcensus/census_test.go
@@ -142,15 +142,15 @@
 		f := start(size)
 		f.run(6 * time.Second)
 		repeats := 0
-		var allowances []*mtallowance.Allowance
+		var allowances []*mtallowance.RetryBudget
 		for range size {
 			allowances = append(allowances, mtallowance.New(ratio, slack, window, time.Now().Add(-2*window)))
 		}
 		const requests = 20
 		for i, e := range f.entries {
 			for range requests {
-				allowances[i].Request()
-				for allowances[i].Take(e.Size()) {
+				allowances[i].CountRequest()
+				for allowances[i].TryRetry(e.Size()) {
 					repeats++
 				}
 			}
--- a/internal/relay/mtfront/deliver.go
+++ b/internal/relay/mtfront/deliver.go
@@ -73,7 +73,7 @@
 	if failedByTarget(response) {
 		choice.End(mtboard.Broken{})
 		if r.route.GetRepeat() == fleetv1.Repeat_REPEAT_SAFE && r.tries < int(r.route.GetAttempts()) &&
-			r.front.allowance(r.service.GetName()).Left(r.front.entries()) >= 1 {
+			r.front.allowance(r.service.GetName()).Remaining(r.front.entries()) >= 1 {
 			link.Release(answer.GetIdle().AsDuration())
 			return broken{why: "the target failed it: " + response.Status}
 		}
--- a/internal/relay/mtfront/front.go
+++ b/internal/relay/mtfront/front.go
@@ -114,7 +114,7 @@
 	without struct{ shedding, repeats bool }
 
 	mu         sync.Mutex
-	allowances map[string]*mtallowance.Allowance
+	allowances map[string]*mtallowance.RetryBudget
 	// fresh are the requests that broke targets of late.
 	fresh    []breakage
 	suspects *mtquarantine.Table
@@ -151,7 +151,7 @@
 		learn:      make(chan ahead, 1),
 		suspects:   mtquarantine.After(crashes),
 		asker:      &http.Client{Transport: network.Outside(), Timeout: askTime},
-		allowances: map[string]*mtallowance.Allowance{},
+		allowances: map[string]*mtallowance.RetryBudget{},
 	}
 	f.start = mtstart.New(f.knowsEnough)
 	f.standbys = newStandbys(f)
@@ -295,7 +295,7 @@
 }
 
 // allowance is the service's bound of repeated sends.
-func (f *Front) allowance(service string) *mtallowance.Allowance {
+func (f *Front) allowance(service string) *mtallowance.RetryBudget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	a := f.allowances[service]
--- a/internal/relay/mtfront/limit.go
+++ b/internal/relay/mtfront/limit.go
@@ -24,7 +24,7 @@
 
 // followLimits draws permits ahead of need until ctx ends.
 func (f *Front) followLimits(ctx context.Context) error {
-	ticks := time.NewTicker(mtquota.TickTime)
+	ticks := time.NewTicker(mtquota.TickInterval)
 	defer ticks.Stop()
 	for {
 		select {
@@ -87,7 +87,7 @@
 	}
 	if refused, ok := verdict.(mtquota.Refused); ok {
 		r.front.trail.Metrics().Add("permits_refused_total", 1)
-		return "the target's limit: " + refused.Why()
+		return "the target's limit: " + refused.Reason()
 	}
 	r.front.trail.Metrics().Add("permits_taken_total", 1)
 	choice.Permit()
--- a/internal/relay/mtfront/quota.go
+++ b/internal/relay/mtfront/quota.go
@@ -27,7 +27,7 @@
 
 // followQuotas draws credit ahead of need until ctx ends.
 func (f *Front) followQuotas(ctx context.Context) error {
-	ticks := time.NewTicker(mtquota.TickTime)
+	ticks := time.NewTicker(mtquota.TickInterval)
 	defer ticks.Stop()
 	log := &quotaLog{over: map[string]bool{}, metered: map[string]bool{}}
 	looked := time.Now()
@@ -187,7 +187,7 @@
 // exceeded tells the caller that its account is over its quota.
 func (r *request) exceeded(refused mtquota.Refused) {
 	text := mtcode.RateExceeded.String() + ": " + mtcode.RateExceeded.Text()
-	r.turnAway(http.StatusTooManyRequests, text, refused.Why(), refused.Again(),
+	r.turnAway(http.StatusTooManyRequests, text, refused.Reason(), refused.RetryAfter(),
 		zap.Stringer("code", mtcode.RateExceeded), zap.Int64("cost", r.cost),
 		zap.Float64("limit", r.account.GetRate()), zap.String("allocator", r.front.quota.Allocator(r.account.GetName())))
 }
--- a/internal/relay/mtfront/serve.go
+++ b/internal/relay/mtfront/serve.go
@@ -231,7 +231,7 @@
 	}
 	defer r.front.streams.end(r)
 	allowance := r.front.allowance(r.service.GetName())
-	allowance.Request()
+	allowance.CountRequest()
 	r.query = mtboard.NewQuery(r.service, r.ask, r.account, r.front.catalog.Load().Cache(mtboard.Home(r.ask)), r.route.GetAim().AsDuration())
 	if r.origin != nil {
 		r.query.Pin(r.origin.GetBuild())
@@ -240,7 +240,7 @@
 	var last result = rejected{}
 	for r.mayTry(last) {
 		began := time.Now()
-		if r.tries > 0 && !r.paid && !allowance.Take(r.front.entries()) {
+		if r.tries > 0 && !r.paid && !allowance.TryRetry(r.front.entries()) {
 			r.front.trail.Metrics().Add("retries_denied_total", 1)
 			break
 		}
--- a/internal/role/mtcredit/credit_test.go
+++ b/internal/role/mtcredit/credit_test.go
@@ -201,7 +201,7 @@
 		settle, refusal := f.entries[0].Take(context.Background(), clerks, 10)
 		f.g.Expect(passes(refusal)).To(BeTrue())
 		settle(burst + 2*rate)
-		time.Sleep(4 * mtquota.TickTime)
+		time.Sleep(4 * mtquota.TickInterval)
 		f.g.Expect(f.take(f.entries[1], 10)).To(BeFalse())
 		time.Sleep(2 * time.Second)
 		f.g.Expect(f.take(f.entries[1], 10)).To(BeTrue())
--- a/internal/role/mtcredit/follow.go
+++ b/internal/role/mtcredit/follow.go
@@ -49,7 +49,7 @@
 		calls.Wait()
 		c.transport.CloseIdleConnections()
 	}()
-	ticks, probes := time.NewTicker(mtquota.TickTime), time.NewTicker(probeTime)
+	ticks, probes := time.NewTicker(mtquota.TickInterval), time.NewTicker(probeTime)
 	defer ticks.Stop()
 	defer probes.Stop()
 	known := &others{}
