--- a/internal/placement/mtboard/ask.go
+++ b/internal/placement/mtboard/ask.go
@@ -7,82 +7,82 @@
 	fleetv1 "github.com/mustardtide/mustardtide/gen/mustardtide/fleet/v1"
 )
 
-// The load that asking answers is a fleet of hundreds of engines and entries. What an
-// entry has heard of an engine is then most of a second old, some ten prompts of other
-// entries: all of them take the engine that looked idle, and callers wait there while
-// others idle. So the engines that look best are asked before one is chosen, which
-// costs by requests, not by entries times engines.
+// Probing addresses fleets of hundreds of engines and entries. There, an entry's view of an
+// engine is on average most of a second old, which is some ten prompts of other entries. All
+// entries then choose the engine that looked idle: callers wait there while other engines idle.
+// The engines that look best are therefore probed before one is chosen, which costs messages in
+// proportion to requests rather than to entries times engines.
 
 const (
-	// currentTime is how long a sidecar's word counts as of this moment: an engine
-	// reads a thousand tokens in it.
-	currentTime = 25 * time.Millisecond
-	// mutedTime is how long a sidecar that did not answer is not asked again: each
-	// request would wait for one that is dead. It doubles with each further question
-	// without an answer, up to mostMuted.
-	mutedTime = 500 * time.Millisecond
-	mostMuted = 8 * time.Second
+	// currentTTL is how long a sidecar's state counts as current. An engine prefills a thousand
+	// tokens in that time.
+	currentTTL = 25 * time.Millisecond
+	// probeBackoff is how long a sidecar that did not answer is not probed again, as each request
+	// would wait for a dead one. It doubles with each further unanswered probe, up to
+	// maxProbeBackoff.
+	probeBackoff    = 500 * time.Millisecond
+	maxProbeBackoff = 8 * time.Second
 )
 
-// mostDoublings reach mostMuted.
-const mostDoublings = 4
+// maxBackoffDoublings is the number of doublings that reaches maxProbeBackoff.
+const maxBackoffDoublings = 4
 
-// Doubtful lists the cheapest targets, at most so many, whose sidecars should be asked
-// before one is chosen; none where the cheapest was heard of just now.
-func (b *Board) Doubtful(q *Query, most int) []*fleetv1.Target {
-	if q.model() == "" || b.without.asks {
+// Doubtful returns up to limit of the cheapest targets whose sidecars should be probed
+// before one is chosen. It returns none if the state of the cheapest is current.
+func (b *Board) Doubtful(q *Query, limit int) []*fleetv1.Target {
+	if q.model() == "" || b.disabled.probes {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	q.asked = true
-	best := make([]weighed, 0, most+1)
-	for c, l := range b.weighing(q).candidates() {
-		if l == lackNone {
-			best = keepBest(best, weighed{c.record, c.cost}, most, func(a, b weighed) int { return cmp.Compare(a.cost, b.cost) })
+	q.probed = true
+	best := make([]recordCost, 0, limit+1)
+	for c, why := range b.newEvaluation(q).candidates() {
+		if why == unfitNone {
+			best = insertBounded(best, recordCost{c.record, c.cost}, limit, func(a, b recordCost) int { return cmp.Compare(a.cost, b.cost) })
 		}
 	}
 	if len(best) == 0 || q.current(best[0].record) {
 		return nil
 	}
-	var ask []*fleetv1.Target
-	for _, w := range best {
-		if !q.current(w.record) && time.Now().After(w.record.muted) {
-			ask = append(ask, w.record.target)
+	var toProbe []*fleetv1.Target
+	for _, rc := range best {
+		if !q.current(rc.record) && time.Now().After(rc.record.backoffUntil) {
+			toProbe = append(toProbe, rc.record.target)
 		}
 	}
-	return ask
+	return toProbe
 }
 
-// weighed is a target and its cost.
-type weighed struct {
+// recordCost is a target and its estimated cost.
+type recordCost struct {
 	record *record
 	cost   time.Duration
 }
 
-// Silent notes that a target's sidecar was asked and did not answer.
+// Silent records that a target's sidecar did not answer a probe.
 func (b *Board) Silent(q *Query, target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[target]; r != nil {
-		r.muted = time.Now().Add(min(mostMuted, mutedTime<<min(r.unanswered, mostDoublings)))
-		r.unanswered++
+		r.backoffUntil = time.Now().Add(min(maxProbeBackoff, probeBackoff<<min(r.unansweredProbes, maxBackoffDoublings)))
+		r.unansweredProbes++
 	}
-	if q.silent == nil {
-		q.silent = map[string]bool{}
+	if q.unresponsive == nil {
+		q.unresponsive = map[string]bool{}
 	}
-	q.silent[target] = true
+	q.unresponsive[target] = true
 }
 
-// current says that a target's state is known as well as it can be. Of an engine
-// whose sidecar is gone no more is known than what this entry has sent there: it must
-// not be passed over for that, as many sidecars may be gone at once.
+// current reports whether a target's state is as recent as it can be. Where the sidecar is gone,
+// nothing is known beyond what this entry has sent to the engine. Such a target counts as
+// current, so that it is not passed over: many sidecars may be gone at once.
 func (q *Query) current(r *record) bool {
-	if !q.asked {
+	if !q.probed {
 		return false
 	}
-	if time.Since(r.heard) < currentTime {
+	if time.Since(r.stateAt) < currentTTL {
 		return true
 	}
-	return !r.fresh() && (q.silent[r.target.GetId()] || time.Now().Before(r.muted))
+	return !r.fresh() && (q.unresponsive[r.target.GetId()] || time.Now().Before(r.backoffUntil))
 }
--- a/internal/placement/mtboard/bill.go
+++ b/internal/placement/mtboard/bill.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// item is one thing that a target costs.
-type item int
+// costItem is one component of a target's estimated cost.
+type costItem int
 
 const (
-	itemStart item = iota
+	itemStart costItem = iota
 	itemQueue
-	itemRead
+	itemPrefill
 	itemFetch
-	itemRuns
-	itemApart
-	itemStray
-	itemWaste
+	itemConcurrency
+	itemDistance
+	itemNotHome
+	itemRedundant
 	itemCopy
-	itemOlder
-	itemFull
+	itemOldWeights
+	itemNoRoom
 	itemFaults
 	itemReplaced
-	items
+	numCostItems
 )
 
-// words are what the items are called in logs.
-var words = [items]string{
-	itemStart:    "to start",
-	itemQueue:    "prompts waiting",
-	itemRead:     "more to read",
-	itemFetch:    "more to fetch",
-	itemRuns:     "runs beside",
-	itemApart:    "other data centre",
-	itemStray:    "not the prompt's home",
-	itemWaste:    "read again though held elsewhere",
-	itemCopy:     "more to copy",
-	itemOlder:    "older weights",
-	itemFull:     "no room",
-	itemFaults:   "failed of late",
-	itemReplaced: "address given to another",
+// itemNames are the names of the items in logs.
+var itemNames = [numCostItems]string{
+	itemStart:       "base time",
+	itemQueue:       "prompts waiting",
+	itemPrefill:     "more to prefill",
+	itemFetch:       "more to fetch",
+	itemConcurrency: "concurrent requests",
+	itemDistance:    "other data centre",
+	itemNotHome:     "not the prompt's home",
+	itemRedundant:   "prefilled though cached elsewhere",
+	itemCopy:        "more duplicate tokens",
+	itemOldWeights:  "older weights",
+	itemNoRoom:      "no room",
+	itemFaults:      "recent failures",
+	itemReplaced:    "address reassigned",
 }
 
-// bill is what a target would cost a request, item by item.
-type bill [items]time.Duration
+// costBreakdown is the estimated cost of a request on a target, by item.
+type costBreakdown [numCostItems]time.Duration
 
-func (b *bill) sum() time.Duration {
+func (b *costBreakdown) sum() time.Duration {
 	var sum time.Duration
 	for _, part := range b {
 		sum += part
@@ -54,56 +54,55 @@
 	return sum
 }
 
-// above names the item by which a bill exceeds another the most, and by how
-// much.
-func (b *bill) above(other *bill) (item, time.Duration) {
+// largestExcess returns the item by which this cost exceeds another the most, and by how much.
+func (b *costBreakdown) largestExcess(other *costBreakdown) (costItem, time.Duration) {
 	most, excess := itemStart, time.Duration(0)
 	for i := range b {
 		if over := b[i] - other[i]; over > excess {
-			most, excess = item(i), over
+			most, excess = costItem(i), over
 		}
 	}
 	return most, excess
 }
 
-// told is how many of the targets that lost are named in a log line.
-const told = 3
+// maxRunnersUp is how many of the targets that were not chosen are named in a log line.
+const maxRunnersUp = 3
 
-// loser is a target that was considered and not chosen.
-type loser struct {
-	id   string
-	cost time.Duration
-	bill bill
+// runnerUp is a target that was considered but not chosen.
+type runnerUp struct {
+	id        string
+	cost      time.Duration
+	breakdown costBreakdown
 }
 
-// lose keeps another target among the cheapest of those that lost.
-func (c *Choice) lose(other *Choice) {
+// addRunnerUp inserts a candidate if it is among the cheapest that were not chosen.
+func (c *Choice) addRunnerUp(other *Choice) {
 	at := 0
-	for at < len(c.lost) && c.lost[at].cost < other.cost {
+	for at < len(c.runnersUp) && c.runnersUp[at].cost < other.cost {
 		at++
 	}
-	if at >= told {
+	if at >= maxRunnersUp {
 		return
 	}
-	if len(c.lost) < told {
-		c.lost = append(c.lost, loser{})
+	if len(c.runnersUp) < maxRunnersUp {
+		c.runnersUp = append(c.runnersUp, runnerUp{})
 	}
-	copy(c.lost[at+1:], c.lost[at:])
-	c.lost[at] = loser{other.id, other.cost, other.bill}
+	copy(c.runnersUp[at+1:], c.runnersUp[at:])
+	c.runnersUp[at] = runnerUp{other.id, other.cost, other.breakdown}
 }
 
-// Losers names the next best targets: what each would have cost, and the item by
-// which it most exceeds the chosen one.
+// Losers describes the next best targets: the cost of each, and the item by which it most
+// exceeds the chosen one.
 func (c *Choice) Losers() string {
 	var b strings.Builder
-	for i := range c.lost {
-		l := &c.lost[i]
+	for i := range c.runnersUp {
+		r := &c.runnersUp[i]
 		if i > 0 {
 			b.WriteString(", ")
 		}
-		b.WriteString(l.id + " " + millis(l.cost))
-		if why, excess := l.bill.above(&c.bill); excess >= time.Millisecond {
-			b.WriteString(" (" + words[why] + " +" + millis(excess) + ")")
+		b.WriteString(r.id + " " + millis(r.cost))
+		if why, excess := r.breakdown.largestExcess(&c.breakdown); excess >= time.Millisecond {
+			b.WriteString(" (" + itemNames[why] + " +" + millis(excess) + ")")
 		}
 	}
 	return b.String()
--- a/internal/placement/mtboard/board.go
+++ b/internal/placement/mtboard/board.go
@@ -1,11 +1,10 @@
-// Package mtboard is an entry's view of the targets and its choice among them.
+// Package mtboard holds an entry's view of the targets and chooses among them.
 //
-// The load it answers is prompts that share long parts, on engines that differ
-// in load, in speed and in weights. Choosing by load alone reads shared parts
-// anew at each engine; choosing by the prompt alone queues a hot part's
-// requests at one engine while others idle. The cost of a choice is therefore
-// an estimate in time: what waits there, what is left to read after the cached
-// and the fetched parts, and what speaks against the target.
+// It is built for prompts that share long prefixes, on engines that differ in load, speed and
+// weights. Choosing by load alone makes each engine prefill the shared parts again. Choosing by
+// prompt alone queues the requests for a popular part at one engine while others idle. The cost
+// of a choice is therefore an estimate in time: the queue at the target, what is left to prefill
+// after the cached and fetched parts, and penalties for the target.
 package mtboard
 
 import (
@@ -25,130 +24,130 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtspeed"
 )
 
-// stateTime is how long a sidecar's word counts as fresh: three of the intervals
-// at which it is heard from another data centre, so that two lost datagrams
-// change nothing.
-const stateTime = 2500 * time.Millisecond
+// stateTTL is how long a sidecar's state counts as fresh: three heartbeat intervals of another
+// data centre, so that two lost datagrams make no difference.
+const stateTTL = 2500 * time.Millisecond
 
-// vouchTime is how long a sidecar's word holds that another program of the service stands
-// at the listed address: shorter than the time after which a platform uses an address
-// anew.
-const vouchTime = time.Second
+// successorTTL is how long a sidecar's report holds that a newer program of the service runs at
+// the listed address. It is shorter than the time after which a platform reuses an address.
+const successorTTL = time.Second
 
-// Board is safe for concurrent use.
+// Board is the entry's view of the targets. It is safe for concurrent use.
 type Board struct {
 	datacentre string
-	// allowed is how long after newer weights were named a run may begin on older
+	// maxStaleness is how long after newer weights were announced a run may still begin on older
 	// ones.
-	allowed time.Duration
-	holders *mtholder.Memory
+	maxStaleness time.Duration
+	holders      *mtholder.Memory
 
 	mu      sync.Mutex
 	records map[string]*record
-	// departures are the targets that have said that they leave, pauses those that want
+	// departures are the targets that reported that they are leaving, pauses those that asked for
 	// no requests for a time.
 	departures *mtdeparture.Departures
 	pauses     *mtpause.Pauses
-	// limiter holds the fleet to the limits that targets name.
+	// limiter enforces the limits that targets announce, across the fleet.
 	limiter *mtlimiter.Limiter
-	// services are the records by service, in the order of their hashes; engines are those of
-	// model engines that have not been replaced.
+	// services are the records by service, ordered by the hash of their ids. engines are the
+	// records of model engines that have not been replaced.
 	services map[string][]*record
 	engines  []*record
-	// named are the models' weights, unnamed those of a model of which nothing is known.
-	named   map[string]*mtnaming.Naming
-	unnamed *mtnaming.Naming
-	// knees are the numbers of engines of a queue above which loads of weights were
-	// seen to slow each other down.
-	knees map[queue]int
-	// speeds are those of the services' engines.
+	// weightsByModel are the announced weights by model; unknownWeights stands for a model of
+	// which nothing is known.
+	weightsByModel map[string]*mtnaming.Naming
+	unknownWeights *mtnaming.Naming
+	// loadLimits is, by queue, the number of engines above which concurrent loads of weights were
+	// observed to slow each other down.
+	loadLimits map[queueKey]int
+	// speeds are the learned speeds of the engines, by service.
 	speeds map[string]*mtspeed.Speed
-	// delays are those of fetches from the stores of cached parts, by address.
-	delays map[string]*delay
-	// without is what is left out to be measured.
-	without without
+	// delays are the recent delays of fetches from the stores of cached parts, by store address.
+	delays map[string]*fetchDelay
+	// disabled are the mechanisms that are switched off for measurements.
+	disabled disabledMechanisms
 }
 
-// queue names one of the queues in which engines load weights.
-type queue struct{ service, group string }
+// queueKey identifies one of the queues in which engines load weights.
+type queueKey struct{ service, group string }
 
-// record is what the entry knows of one target.
+// record is the entry's view of one target.
 type record struct {
 	board  *Board
 	target *fleetv1.Target
-	hash   uint64
-	// place is the hash of the instance's address.
-	place uint64
+	idHash uint64
+	// hostHash is the hash of the host in the instance's address.
+	hostHash uint64
 
-	// pending are the prompt tokens sent and not yet read; running the requests
-	// of this entry under way.
+	// pending is the number of prompt tokens sent but not yet prefilled, running the number of
+	// this entry's requests in progress.
 	pending int64
 	running int
-	// state is the sidecar's last word.
-	state *fleetv1.State
-	heard time.Time
-	// spoke is when the sidecar itself was heard; the time of the target's listing
-	// until then.
-	spoke time.Time
-	// attended says that it was heard.
-	attended bool
-	// muted is until when the sidecar is not asked, as it did not answer so many questions.
-	muted      time.Time
-	unanswered int
-	// loaded is what the target's last answer said of its load.
-	loaded  *fleetv1.Answer
-	loadAge time.Time
-
-	// followed says that the engine's cache is followed; epoch and upto say which
-	// of the cache's changes are taken in.
-	followed bool
-	epoch    int64
-	upto     uint64
-
-	faults faults
-	pace   pace
-	// misplaced says that another program answers at the address.
-	misplaced bool
-	// vouched is when the sidecar has said that this program is of the same service, and
-	// was started after the listed one.
-	vouched time.Time
-	// replaced says that another program was listed later at the address; a
-	// forged entry may say so falsely.
+	// state is the last state received of the target.
+	state   *fleetv1.State
+	stateAt time.Time
+	// lastHeartbeat is when the sidecar itself was last heard from; before the first time, when
+	// the target was listed.
+	lastHeartbeat time.Time
+	// heartbeatSeen reports whether the sidecar was ever heard from.
+	heartbeatSeen bool
+	// The sidecar is not probed before backoffUntil, as it left unansweredProbes probes in a row
+	// unanswered.
+	backoffUntil     time.Time
+	unansweredProbes int
+	// lastAnswer is the target's last answer that reported its load, lastAnswerAt when it came.
+	lastAnswer   *fleetv1.Answer
+	lastAnswerAt time.Time
+
+	// followed reports whether the entry follows changes of the engine's cache. epoch and
+	// appliedUpTo identify the changes that have been applied.
+	followed    bool
+	epoch       int64
+	appliedUpTo uint64
+
+	failures failureRate
+	latency  latencyRatio
+	// wrongProgram reports whether another program answers at the address.
+	wrongProgram bool
+	// successorSeen is when the sidecar last reported that this program is of the same service
+	// and was started after the listed one.
+	successorSeen time.Time
+	// replaced reports whether another program was listed at the address later. A forged entry
+	// may claim so falsely.
 	replaced bool
-	// version overrides the listed weights after an answer told of newer ones.
-	version int64
+	// answeredVersion overrides the listed weights after an answer reported newer ones.
+	answeredVersion int64
 }
 
-// oldShare is the part of the time allowed for older weights in which requests
-// may still be sent to them: what is sent may wait before it begins.
-const oldShare = 0.8
+// staleCutoffShare is the part of maxStaleness during which requests may still be sent to older
+// weights, as a request may wait before it begins.
+const staleCutoffShare = 0.8
 
-// endShare is the part of that time in which a run must begin even where no other target
-// can take it; the rest covers transit and errors of the estimate.
-const endShare = 0.95
+// staleDeadlineShare is the part of maxStaleness within which a run must begin even if no other
+// target can take it. The rest covers transit and errors of the estimate.
+const staleDeadlineShare = 0.95
 
-// New returns an empty board for an entry of a data centre; allowed is the time
-// after the naming of new weights in which a run may begin on older ones. Targets' limits
-// are those of a limiter.
-func New(datacentre string, allowed time.Duration, limiter *mtlimiter.Limiter) *Board {
+// New returns an empty board for an entry in the given data centre. maxStaleness is how long
+// after newer weights were announced a run may still begin on older ones; limiter enforces the
+// targets' limits.
+func New(datacentre string, maxStaleness time.Duration, limiter *mtlimiter.Limiter) *Board {
 	return &Board{
-		datacentre: datacentre,
-		allowed:    allowed,
-		limiter:    limiter,
-		holders:    mtholder.New(),
-		records:    map[string]*record{},
-		departures: mtdeparture.New(),
-		pauses:     mtpause.New(),
-		named:      map[string]*mtnaming.Naming{},
-		unnamed:    mtnaming.New(allowed),
-		knees:      map[queue]int{},
-		speeds:     map[string]*mtspeed.Speed{},
-		delays:     map[string]*delay{},
+		datacentre:     datacentre,
+		maxStaleness:   maxStaleness,
+		limiter:        limiter,
+		holders:        mtholder.New(),
+		records:        map[string]*record{},
+		departures:     mtdeparture.New(),
+		pauses:         mtpause.New(),
+		weightsByModel: map[string]*mtnaming.Naming{},
+		unknownWeights: mtnaming.New(maxStaleness),
+		loadLimits:     map[queueKey]int{},
+		speeds:         map[string]*mtspeed.Speed{},
+		delays:         map[string]*fetchDelay{},
 	}
 }
 
-// List takes in the list of targets; replaced says which ones stand at an
-// address that another target has taken since.
+// List replaces the list of targets. replaced reports whether another target has since
+// taken a target's address.
 func (b *Board) List(targets map[string]*fleetv1.Target, replaced func(*fleetv1.Target) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,14 +158,16 @@
 		}
 	}
 	for id, target := range targets {
-		b.started(id, target.GetBorn())
+		b.noteStart(id, target.GetBorn())
 		r := b.records[id]
 		if r == nil {
-			b.records[id] = &record{board: b, target: target, hash: xxh3.HashString(id), place: placeOf(target), spoke: time.Now()}
+			b.records[id] = &record{
+				board: b, target: target, idHash: xxh3.HashString(id), hostHash: hashHost(target), lastHeartbeat: time.Now(),
+			}
 			continue
 		}
 		if r.target.GetAddress() != target.GetAddress() {
-			r.misplaced, r.place = false, placeOf(target)
+			r.wrongProgram, r.hostHash = false, hashHost(target)
 		}
 		r.target = target
 	}
@@ -177,15 +178,15 @@
 			b.engines = append(b.engines, r)
 		}
 	}
-	b.sort()
+	b.groupByService()
 }
 
-func placeOf(target *fleetv1.Target) uint64 {
+func hashHost(target *fleetv1.Target) uint64 {
 	host, _, _ := strings.Cut(target.GetAddress(), ":")
 	return xxh3.HashString(host)
 }
 
-// Hear takes in a sidecar's word.
+// Hear applies a target's state, as its sidecar or a standby sent it.
 func (b *Board) Hear(state *fleetv1.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -193,110 +194,112 @@
 	if r == nil {
 		return
 	}
-	b.started(state.GetTarget(), state.GetReport().GetBorn())
+	b.noteStart(state.GetTarget(), state.GetReport().GetBorn())
 	if old := r.state; old != nil && old.GetReport().GetBorn() != state.GetReport().GetBorn() {
-		// The engine has started again under its id: its cache is empty.
+		// The engine was restarted under the same id: its cache is empty.
 		b.holders.Forget(state.GetTarget())
-		r.version = 0
+		r.answeredVersion = 0
 	}
 	r.state = state
-	r.heard = time.Now()
+	r.stateAt = time.Now()
 	if state.GetStandby() {
 		return
 	}
-	r.spoke, r.attended = r.heard, true
+	r.lastHeartbeat, r.heartbeatSeen = r.stateAt, true
 	if born := r.target.GetBorn(); born > 0 && state.GetReport().GetBorn() > born && state.GetService() == r.target.GetService() {
-		r.vouched, r.misplaced = r.heard, false
+		r.successorSeen, r.wrongProgram = r.stateAt, false
 	}
-	r.muted, r.unanswered = time.Time{}, 0
-	b.cached(r, state)
+	r.backoffUntil, r.unansweredProbes = time.Time{}, 0
+	b.applyCacheChanges(r, state)
 }
 
-// started takes in when a target's program was started: what the one before has said of itself
-// no longer holds.
-func (b *Board) started(id string, born int64) {
+// noteStart records when a target's program was started. What an earlier program announced about
+// itself no longer holds.
+func (b *Board) noteStart(id string, born int64) {
 	b.departures.Started(id, born)
 	b.limiter.Started(id, born)
 }
 
-// Unattended lists the model engines whose sidecars have not spoken for a time.
+// Unattended returns the model engines whose sidecars have not been heard from for the
+// given time.
 func (b *Board) Unattended(silence time.Duration) []*fleetv1.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []*fleetv1.Target
 	for _, r := range b.records {
-		if len(r.target.GetModels()) > 0 && !r.replaced && !r.leaves() && time.Since(r.spoke) > silence {
+		if len(r.target.GetModels()) > 0 && !r.replaced && !r.leaving() && time.Since(r.lastHeartbeat) > silence {
 			list = append(list, r.target)
 		}
 	}
 	return list
 }
 
-// Spoke is how long ago the sidecar of the engine at an address was heard itself.
+// Spoke returns how long ago the sidecar of the engine at an address was last heard from
+// directly.
 func (b *Board) Spoke(address string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	least := time.Duration(math.MaxInt64)
 	for _, r := range b.records {
-		if r.target.GetAddress() == address && r.attended {
-			least = min(least, time.Since(r.spoke))
+		if r.target.GetAddress() == address && r.heartbeatSeen {
+			least = min(least, time.Since(r.lastHeartbeat))
 		}
 	}
 	return least
 }
 
-// cached takes in changes of an engine's cache. Those that do not follow on what
-// is known are left for the next state, which begins where the hello says.
-func (b *Board) cached(r *record, state *fleetv1.State) {
-	if b.without.events {
+// applyCacheChanges applies changes of an engine's cache. Changes that are known already, or that
+// leave a gap after the known ones, are ignored: the next state begins where the hello says.
+func (b *Board) applyCacheChanges(r *record, state *fleetv1.State) {
+	if b.disabled.events {
 		return
 	}
 	if state.GetReset_() || state.GetEpoch() != r.epoch {
 		b.holders.Forget(state.GetTarget())
-		r.epoch, r.upto = state.GetEpoch(), 0
+		r.epoch, r.appliedUpTo = state.GetEpoch(), 0
 	}
-	if state.GetSince() > r.upto || state.GetUpto() <= r.upto {
+	if state.GetSince() > r.appliedUpTo || state.GetUpto() <= r.appliedUpTo {
 		return
 	}
 	b.holders.Learn(state.GetTarget(), state.GetChanges())
-	r.upto = state.GetUpto()
+	r.appliedUpTo = state.GetUpto()
 }
 
-// Fill adds to a hello which changes of the target's cache are known, and what
-// was given to it to read.
+// Fill sets in a hello which changes of the target's cache are known, whether they are
+// followed, and how many tokens this entry has sent to the target that are not yet prefilled.
 func (b *Board) Fill(hello *fleetv1.Hello) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[hello.GetTarget()]; r != nil {
-		hello.Epoch, hello.Since, hello.Pending, hello.Bare = r.epoch, r.upto, r.pending, !r.followed
+		hello.Epoch, hello.Since, hello.Pending, hello.Bare = r.epoch, r.appliedUpTo, r.pending, !r.followed
 	}
 }
 
-// Name takes in a model's newest weights and their ages; it reports whether they are
-// news.
+// Name merges a model's newest weights and their ages. It reports whether they are new to
+// the board.
 func (b *Board) Name(weights *fleetv1.Weights) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.named[weights.GetModel()] == nil {
-		b.named[weights.GetModel()] = mtnaming.New(b.allowed)
+	if b.weightsByModel[weights.GetModel()] == nil {
+		b.weightsByModel[weights.GetModel()] = mtnaming.New(b.maxStaleness)
 	}
-	return b.named[weights.GetModel()].Merge(weights)
+	return b.weightsByModel[weights.GetModel()].Merge(weights)
 }
 
-// naming is what is known of a model's weights.
+// naming returns what is known of a model's weights.
 func (b *Board) naming(model string) *mtnaming.Naming {
-	if naming := b.named[model]; naming != nil {
+	if naming := b.weightsByModel[model]; naming != nil {
 		return naming
 	}
-	return b.unnamed
+	return b.unknownWeights
 }
 
-// NamedAge is how long ago the last weights were named.
+// NamedAge returns how long ago the latest weights were announced.
 func (b *Board) NamedAge() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var newest time.Duration
-	for _, n := range b.named {
+	for _, n := range b.weightsByModel {
 		age := n.Age()
 		if newest == 0 || age < newest {
 			newest = age
@@ -305,30 +308,30 @@
 	return newest
 }
 
-// NamedRevision is the greatest of the named weights' revisions; 0 where none are named.
+// NamedRevision returns the highest revision of the announced weights, 0 if there are
+// none.
 func (b *Board) NamedRevision() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var newest int64
-	for _, n := range b.named {
+	for _, n := range b.weightsByModel {
 		newest = max(newest, n.Newest().GetRevision())
 	}
 	return newest
 }
 
-// Named lists the newest weights of all models, with their ages.
+// Named returns the newest weights of all models, with their ages.
 func (b *Board) Named() []*fleetv1.Weights {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	list := make([]*fleetv1.Weights, 0, len(b.named))
-	for _, n := range b.named {
+	list := make([]*fleetv1.Weights, 0, len(b.weightsByModel))
+	for _, n := range b.weightsByModel {
 		list = append(list, n.Snapshot())
 	}
 	return list
 }
 
-// Entries is the number of live entries as sidecars have counted them; 0 if
-// none has told.
+// Entries returns the number of live entries as counted by sidecars, 0 if none has reported it.
 func (b *Board) Entries() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -341,12 +344,12 @@
 	return most
 }
 
-// successor says that the program at the address is the listed one's successor, which the
-// store does not list yet: when a whole fleet restarts, that takes seconds. Its instance
-// vouches for its service, and no other program can have the address so soon.
-func (r *record) successor() bool { return time.Since(r.vouched) < vouchTime }
+// hasSuccessor reports whether the program at the address is the successor of the listed one, not
+// yet listed itself: that takes seconds when a whole fleet restarts. The sidecar of its instance
+// confirms its service, and no other program can get the address that soon.
+func (r *record) hasSuccessor() bool { return time.Since(r.successorSeen) < successorTTL }
 
-// build is the software version of the program at the address; "" where it is unknown, as after
+// build returns the software version of the program at the address, "" if it is unknown, as after
 // a restart that is not listed yet.
 func (r *record) build() string {
 	if born := r.target.GetBorn(); born > 0 && r.state.GetReport().GetBorn() > born {
@@ -355,23 +358,23 @@
 	return r.target.GetBuild()
 }
 
-// fresh says that the sidecar's word is recent.
+// fresh reports whether the target's state is recent.
 func (r *record) fresh() bool {
-	return r.state != nil && time.Since(r.heard) < stateTime
+	return r.state != nil && time.Since(r.stateAt) < stateTTL
 }
 
-// leaves says that the target leaves, by its entry in the store or by its own word.
-func (r *record) leaves() bool {
+// leaving reports whether the target is leaving, by its entry in the store or its own report.
+func (r *record) leaving() bool {
 	return r.target.GetLeaving() || r.board.departures.Has(r.target.GetId())
 }
 
-// born is the start of the target's program in Unix milliseconds; 0 where it is not known.
-func (r *record) born() int64 {
+// startMillis returns the start of the target's program in Unix milliseconds, 0 if unknown.
+func (r *record) startMillis() int64 {
 	return max(r.target.GetBorn(), r.state.GetReport().GetBorn())
 }
 
-// weights returns the version that the target serves of a model; 0 if unknown.
-func (r *record) weights(model string) int64 {
+// weightsVersion returns the version of a model's weights that the target serves, 0 if unknown.
+func (r *record) weightsVersion(model string) int64 {
 	var version int64
 	for _, m := range r.target.GetModels() {
 		if m.GetModel() == model {
@@ -385,5 +388,5 @@
 			}
 		}
 	}
-	return max(version, r.version)
+	return max(version, r.answeredVersion)
 }
--- a/internal/placement/mtboard/choice.go
+++ b/internal/placement/mtboard/choice.go
@@ -8,72 +8,72 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtspeed"
 )
 
-// Choice is a target chosen for one send, and the book-keeping of that send.
-// Its calls come from one goroutine: Started at the first byte, then End.
+// Choice is a target chosen for one send, and the accounting of that send. Its methods are called
+// from one goroutine: Started at the first byte, then End.
 type Choice struct {
 	board  *Board
 	record *record
 	query  *Query
 	id     string
-	// address is kept here, as the record's target is replaced when its entry
-	// changes.
+	// address is copied here because the record's target is replaced when its entry changes.
 	address string
 
 	build   string
 	version int64
-	// behind is how long newer weights had been named; 0 for the newest.
-	behind  time.Duration
-	salt    string
-	fetch   string
-	matched int64
-	fetched int64
-	kept    int64
-	// stored says that the parts are fetched from the store, slack its delay when
-	// the target was chosen, pays that they are worth its link, and save that it
-	// should have them once they are read.
-	stored bool
-	slack  time.Duration
-	pays   bool
-	save   bool
-	reads  int64
-	// work is what the estimate was made of, by the speed of the service's engines.
-	work     mtspeed.Work
-	speed    *mtspeed.Speed
-	estimate time.Duration
-	expected time.Duration
-	wait     time.Duration
-	bill     bill
-	cost     time.Duration
-	// permitted says that the target's limit allows the request.
+	// behind is how long ago weights newer than the target's were announced, 0 for the newest.
+	behind       time.Duration
+	salt         string
+	fetch        string
+	matched      int64
+	fetched      int64
+	storedTokens int64
+	// fromStore reports whether the parts are fetched from the store, storeDelay is the store's
+	// delay when the target was chosen, storeUseful whether the parts are worth the use of its
+	// link, and saveToStore whether they should be saved there once prefilled.
+	fromStore     bool
+	storeDelay    time.Duration
+	storeUseful   bool
+	saveToStore   bool
+	prefillTokens int64
+	// work is the input of the estimate, speed the speed of the service's engines.
+	work         mtspeed.Work
+	speed        *mtspeed.Speed
+	baseEstimate time.Duration
+	expected     time.Duration
+	wait         time.Duration
+	breakdown    costBreakdown
+	cost         time.Duration
+	// permitted reports whether the target's limit allows the request.
 	permitted bool
-	// current says that the cost rests on the sidecar's word of this moment.
-	current bool
-
-	since time.Time
-	first time.Time
-	// lost are the cheapest of the others, unfit those that were not considered.
-	lost    []loser
-	unfit   unfit
-	started bool
-	ended   bool
+	// stateCurrent reports whether the cost rests on current state of the target.
+	stateCurrent bool
+
+	sentAt      time.Time
+	firstByteAt time.Time
+	// runnersUp are the cheapest of the other targets; unfit counts those that were not
+	// considered.
+	runnersUp []runnerUp
+	unfit     unfit
+	started   bool
+	ended     bool
 }
 
-// Target is the chosen target's id.
+// Target returns the chosen target's id.
 func (c *Choice) Target() string { return c.id }
 
-// Expected is the id that the program at the address must have to run the request; "" where
-// it is the listed one's successor, whose id is not known.
+// Expected returns the id that the program at the address must have to run the request. It is
+// "" for a successor of the listed program, whose id is not known.
 func (c *Choice) Expected() string {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
-	if c.record.successor() {
+	if c.record.hasSuccessor() {
 		return ""
 	}
 	return c.id
 }
 
-// Build is the software version of the chosen target's program; "" where it is unknown, as that
-// of a successor that is not listed yet, or of one that has started since the choice.
+// Build returns the software version of the chosen target's program. It is "" if unknown, as for
+// a successor that is not listed yet, or a program that was started after the choice.
 func (c *Choice) Build() string {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
@@ -83,78 +83,80 @@
 	return c.build
 }
 
-// Incarnation names the target and, where that is known, its start.
+// Incarnation identifies the target together with the start time of its program, if known.
 func (c *Choice) Incarnation() string {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
 	return c.id + "/" + itoa(c.record.state.GetReport().GetBorn())
 }
 
-// Address is its IP:PORT.
+// Address returns the target's IP:PORT.
 func (c *Choice) Address() string { return c.address }
 
-// Version is the weights that it serves; 0 if unknown or none.
+// Version returns the version of the weights that the target serves, 0 if unknown or none.
 func (c *Choice) Version() int64 { return c.version }
 
-// Behind is how long weights newer than the target's had been named; 0 for the newest.
+// Behind returns how long ago weights newer than the target's were announced, 0 for the newest.
 func (c *Choice) Behind() time.Duration { return c.behind }
 
-// Salt separates the request's cached parts from others'.
+// Salt returns the salt that separates the request's cached parts from others.
 func (c *Choice) Salt() string { return c.salt }
 
-// Fetch is the address to fetch cached parts from, or "".
+// Fetch returns the address to fetch cached parts from, or "".
 func (c *Choice) Fetch() string { return c.fetch }
 
-// Save is the address of the store that the parts are to be sent to once they
-// are read, or "". They are kept where nobody is known to hold all shared ones, nor
-// the store, while its link is not too busy for a fetch to pay.
+// Save returns the address of the store that the parts are to be sent to once they are
+// prefilled, or "". They are saved if neither the target with its fetch source nor the store is
+// known to hold all shared ones, and if the store's link is not too busy for a fetch to pay off.
 func (c *Choice) Save() string {
-	if !c.save {
+	if !c.saveToStore {
 		return ""
 	}
-	return c.query.cache
+	return c.query.store
 }
 
-// saveLeast is the least number of shared tokens that are worth a place in the
-// store: below it reading takes no longer than a transfer.
-const saveLeast = 512
+// minSaveTokens is the least number of shared tokens worth saving in the store: below it, prefill
+// takes no longer than a transfer.
+const minSaveTokens = 512
 
-// Cost is the estimate by which the target was chosen.
+// Cost returns the estimated cost by which the target was chosen.
 func (c *Choice) Cost() time.Duration { return c.cost }
 
-// Estimate is the expected time to the first byte.
+// Estimate returns the expected time to the first byte.
 func (c *Choice) Estimate() time.Duration { return c.expected }
 
-// Known says that the estimate rests on answers of the service's engines.
+// Known reports whether the estimate rests on measured answers of the service's
+// engines.
 func (c *Choice) Known() bool {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
 	return c.speed.Known()
 }
 
-// Wait is the part of it behind others' prompts.
+// Wait returns the part of the estimate spent queued behind other prompts.
 func (c *Choice) Wait() time.Duration { return c.wait }
 
-// Reading is the part of the estimate for what the target is to read.
-func (c *Choice) Reading() time.Duration { return c.bill[itemRead] }
+// Reading returns the part of the estimate for the tokens that the target has to prefill.
+func (c *Choice) Reading() time.Duration { return c.breakdown[itemPrefill] }
 
-// Fetching is the part of the estimate for what the target is to fetch.
-func (c *Choice) Fetching() time.Duration { return c.bill[itemFetch] }
+// Fetching returns the part of the estimate for the tokens that the target has to fetch.
+func (c *Choice) Fetching() time.Duration { return c.breakdown[itemFetch] }
 
-// Matched is what the target is believed to hold of the prompt, in tokens.
+// Matched returns how many tokens of the prompt the target is believed to have cached.
 func (c *Choice) Matched() int64 { return c.matched }
 
-// Fetched is what the named source is believed to hold beyond, in tokens.
+// Fetched returns how many further tokens the fetch source is believed to have cached.
 func (c *Choice) Fetched() int64 { return c.fetched }
 
-// Burdens says that the target is given so much to read that the other entries
-// should know.
-func (c *Choice) Burdens() bool { return c.reads >= burdenLeast }
+// Burdens reports whether the target has so much to prefill that the other entries should be
+// told.
+func (c *Choice) Burdens() bool { return c.prefillTokens >= minLargePrefill }
 
-// burdenLeast is about 20 ms of an engine's reading.
-const burdenLeast = 600
+// minLargePrefill is about 20 ms of an engine's prefill.
+const minLargePrefill = 600
 
-// How says in a word what becomes of the prompt's shared parts there.
+// How returns how the target gets the prompt's shared parts: "held", "fetched" or "read"
+// (that is, prefilled); "plain" for a service without model engines.
 func (c *Choice) How() string {
 	switch shared := c.query.sharedTokens(); {
 	case c.salt == "":
@@ -168,20 +170,20 @@
 	}
 }
 
-// begin counts the send; the board is locked.
+// begin records the start of the send. The caller holds the board's lock.
 func (c *Choice) begin() {
 	c.build = c.record.build()
-	c.since = time.Now()
+	c.sentAt = time.Now()
 	c.record.running++
-	c.record.pending += c.reads
+	c.record.pending += c.prefillTokens
 	tokens := c.query.sharedTokens()
-	c.save = c.salt != "" && c.matched+c.fetched < tokens && c.kept < tokens && c.pays
+	c.saveToStore = c.salt != "" && c.matched+c.fetched < tokens && c.storedTokens < tokens && c.storeUseful
 	if c.salt != "" {
 		c.board.holders.Read(c.salt, c.id, c.query.shared())
 	}
 }
 
-// Holds says that the target is believed to hold the prompt up to one of its parts.
+// Holds reports whether the target is believed to have cached the prompt up to the given part.
 func (c *Choice) Holds(part *fleetv1.Part) bool {
 	var tokens int64
 	for _, p := range c.query.upTo(part) {
@@ -190,79 +192,79 @@
 	return c.matched >= tokens
 }
 
-// Started notes the first byte of the answer: the prompt has been read.
+// Started records the first byte of the answer: the prompt has been prefilled.
 func (c *Choice) Started(answer *fleetv1.Answer) {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
-	c.read()
-	c.first = time.Now()
-	took := c.first.Sub(c.since)
-	if !c.board.without.pace {
-		c.record.pace.learn(c.estimate, took)
+	c.markPrefilled()
+	c.firstByteAt = time.Now()
+	took := c.firstByteAt.Sub(c.sentAt)
+	if !c.board.disabled.pace {
+		c.record.latency.learn(c.baseEstimate, took)
 	}
 	switch {
-	case c.stored:
-		c.fetchedIn(took)
-	case !c.board.without.speeds:
+	case c.fromStore:
+		c.recordStoreFetch(took)
+	case !c.board.disabled.speeds:
 		c.speed.Learn(c.work, took)
 	}
-	c.note(answer)
+	c.updateLoad(answer)
 	if c.salt != "" {
 		c.board.holders.Note(c.salt, c.id, c.query.ask.GetParts())
 	}
 	if c.Save() != "" {
-		c.board.holders.Keep(c.salt, c.query.cache, c.query.shared())
+		c.board.holders.Keep(c.salt, c.query.store, c.query.shared())
 	}
 }
 
-// NoteLeaving takes in an answer that says that its target leaves. It returns that target, and
-// whether it is news: another program may answer at the address.
+// NoteLeaving records an answer that reports that its target is leaving. It returns that target,
+// as another program may answer at the address, and whether this is new.
 func (c *Choice) NoteLeaving(answer *fleetv1.Answer) (string, bool) {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
-	id, born := c.answerer(answer)
+	id, born := c.responder(answer)
 	return id, c.board.departures.Add(id, born)
 }
 
-// Answerer is the target whose program gave the answer, and that program's start in Unix
-// milliseconds, 0 where it is not known: another program may answer at the address.
+// Answerer returns the target whose program gave the answer, as another program may answer at
+// the address, and the start of that program in Unix milliseconds, 0 if unknown.
 func (c *Choice) Answerer(answer *fleetv1.Answer) (string, int64) {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
-	return c.answerer(answer)
+	return c.responder(answer)
 }
 
-func (c *Choice) answerer(answer *fleetv1.Answer) (string, int64) {
+func (c *Choice) responder(answer *fleetv1.Answer) (string, int64) {
 	if other := answer.GetTarget(); other != "" && other != c.id {
 		return other, 0
 	}
-	return c.id, c.record.born()
+	return c.id, c.record.startMillis()
 }
 
-// NotePause takes in for how long an answer says that its target wants no more requests. It
-// reports whether that is news.
+// NotePause records for how long an answer asks for no more requests to its target. It reports
+// whether this is new.
 func (c *Choice) NotePause(answer *fleetv1.Answer) bool {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
 	return c.board.pauses.Add(c.id, answer.GetPause().AsDuration())
 }
 
-// Withdrawn says that the target must not get the request any more, though it was chosen:
-// it has asked for a pause or said that it leaves meanwhile, it has named a limit and there is
-// no permit for the request, or its program is no longer known to run the pinned build.
+// Withdrawn reports whether the target must no longer get the request. This is so if, since the
+// choice, it has asked for a pause or reported that it is leaving, if it has announced a limit
+// and the request has no permit, or if its program is no longer known to run the pinned build.
 func (c *Choice) Withdrawn() bool {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
-	return c.record.leaves() || c.query.foreign(c.record) || c.board.pauses.Remaining(c.id) > 0 || !c.permitted && c.board.limiter.Limited(c.id)
+	return c.record.leaving() || c.query.wrongBuild(c.record) || c.board.pauses.Remaining(c.id) > 0 || !c.permitted && c.board.limiter.Limited(c.id)
 }
 
-// Permit notes that the target's limit allows the request.
+// Permit records that the target's limit allows the request.
 func (c *Choice) Permit() { c.permitted = true }
 
-// Permitted says that it was found to.
+// Permitted reports whether Permit was called.
 func (c *Choice) Permitted() bool { return c.permitted }
 
-// End notes how the send ended.
+// End records the outcome of the send.
 func (c *Choice) End(outcome Outcome) {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
@@ -270,71 +272,71 @@
 		return
 	}
 	c.ended = true
-	begun := c.started
-	c.read()
+	hadStarted := c.started
+	c.markPrefilled()
 	c.record.running--
 	switch o := outcome.(type) {
 	case Good:
-		c.record.faults.good()
-		if begun {
-			c.speed.Answered(time.Since(c.first))
+		c.record.failures.recordSuccess()
+		if hadStarted {
+			c.speed.Answered(time.Since(c.firstByteAt))
 		}
 	case Unreached:
-		c.record.faults.unreached()
+		c.record.failures.recordUnreachable()
 	case Broken:
-		c.record.faults.bad()
+		c.record.failures.recordFailure()
 	case Rejected:
-		c.rejected(o.Answer)
+		c.handleRejection(o.Answer)
 	case Left:
 	}
 }
 
-// rejected takes in why a target did not run the request.
-func (c *Choice) rejected(answer *fleetv1.Answer) {
-	c.note(answer)
+// handleRejection records why a target did not run the request.
+func (c *Choice) handleRejection(answer *fleetv1.Answer) {
+	c.updateLoad(answer)
 	if answer.GetTarget() != "" && answer.GetTarget() != c.id {
-		c.record.misplaced = true
+		c.record.wrongProgram = true
 		return
 	}
 	if answer.GetVersion() > c.version {
-		c.record.version = answer.GetVersion()
+		c.record.answeredVersion = answer.GetVersion()
 		return
 	}
-	c.record.faults.bad()
+	c.record.failures.recordFailure()
 }
 
-// read takes the prompt off what waits to be read.
-func (c *Choice) read() {
+// markPrefilled subtracts the prompt from the tokens that wait for prefill, once.
+func (c *Choice) markPrefilled() {
 	if !c.started {
 		c.started = true
-		c.record.pending -= c.reads
+		c.record.pending -= c.prefillTokens
 	}
 }
 
-// note keeps the load that an answer tells.
-func (c *Choice) note(answer *fleetv1.Answer) {
+// updateLoad stores the load that an answer reports.
+func (c *Choice) updateLoad(answer *fleetv1.Answer) {
 	if answer.GetSlots() > 0 {
-		c.record.loaded = answer
-		c.record.loadAge = time.Now()
+		c.record.lastAnswer = answer
+		c.record.lastAnswerAt = time.Now()
 	}
 }
 
-// Outcome is how a send ended.
+// Outcome is the result of a send.
 type Outcome interface{ outcome() }
 
-// Good is an answer to its end.
+// Good is a complete answer.
 type Good struct{}
 
 // Unreached is a target to which nothing could be sent.
 type Unreached struct{}
 
-// Broken is a target that failed the request or broke off.
+// Broken is a target that failed the request or broke off its answer.
 type Broken struct{}
 
-// Rejected is a target's word that it did not run the request.
+// Rejected is a target's answer that it did not run the request.
 type Rejected struct{ Answer *fleetv1.Answer }
 
-// Left is a send that the caller or the deadline ended: no word on the target.
+// Left is a send ended by the caller or the deadline. It says nothing about the target.
 type Left struct{}
 
 func (Good) outcome()      {}
--- a/internal/placement/mtboard/choose.go
+++ b/internal/placement/mtboard/choose.go
@@ -11,162 +11,162 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtspeed"
 )
 
-// Choose returns the target of the least cost, or nil where no target can take
-// the request now. Where sidecars were asked, those whose word is of this moment go
-// before the others: what looks better may be what was not heard of for longest.
+// Choose returns the target with the lowest cost, or nil if no target can take the request now.
+// Targets with current state go before the others: after a probe, what looks better may only be
+// what was not heard from for longest.
 func (b *Board) Choose(q *Query) *Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var best Choice
-	var out unfit
-	lost := make([]loser, 0, told)
-	for c, l := range b.weighing(q).candidates() {
-		if l != lackNone {
-			out[l]++
+	var unfitCounts unfit
+	runnersUp := make([]runnerUp, 0, maxRunnersUp)
+	for c, why := range b.newEvaluation(q).candidates() {
+		if why != unfitNone {
+			unfitCounts[why]++
 			continue
 		}
 		switch {
 		case best.record == nil:
 			best = *c
-			best.lost = lost
-		case c.before(&best):
-			c.lost = best.lost
-			c.lose(&best)
+			best.runnersUp = runnersUp
+		case c.betterThan(&best):
+			c.runnersUp = best.runnersUp
+			c.addRunnerUp(&best)
 			best = *c
 		default:
-			best.lose(c)
+			best.addRunnerUp(c)
 		}
 	}
 	if best.record == nil {
 		return nil
 	}
-	best.unfit = out
+	best.unfit = unfitCounts
 	best.begin()
 	return &best
 }
 
-// before says that a candidate is the better one.
-func (c *Choice) before(other *Choice) bool {
-	if c.current != other.current {
-		return c.current
+// betterThan reports whether a candidate is preferred to another.
+func (c *Choice) betterThan(other *Choice) bool {
+	if c.stateCurrent != other.stateCurrent {
+		return c.stateCurrent
 	}
 	return c.cost < other.cost
 }
 
-// candidates are the service's targets, weighed where nothing keeps them from being
-// considered. Each stands until the next one comes: a candidate is large, and most are
-// only looked at.
-func (w *weighing) candidates() iter.Seq2[*Choice, lack] {
-	return func(yield func(*Choice, lack) bool) {
+// candidates iterates over the service's targets. The cost of each is estimated if it is fit to
+// be considered. A Choice is valid only until the next iteration: it is large, and most are only
+// looked at.
+func (e *evaluation) candidates() iter.Seq2[*Choice, unfitReason] {
+	return func(yield func(*Choice, unfitReason) bool) {
 		var c Choice
-		for _, r := range w.board.services[w.query.service.GetName()] {
-			c = w.candidate(r)
-			l := w.lack(&c)
-			if l == lackNone {
-				w.weigh(&c)
-				w.board.without.leave(&c.bill)
-				c.cost = c.bill.sum()
-				c.current = w.query.current(r)
-				if w.board.expires(&c) {
-					l = lackOutdated
+		for _, r := range e.board.services[e.query.service.GetName()] {
+			c = e.candidate(r)
+			why := e.whyUnfit(&c)
+			if why == unfitNone {
+				e.estimate(&c)
+				e.board.disabled.clearItems(&c.breakdown)
+				c.cost = c.breakdown.sum()
+				c.stateCurrent = e.query.current(r)
+				if e.board.exceedsMaxStaleness(&c) {
+					why = unfitOutdated
 				}
 			}
-			if !yield(&c, l) {
+			if !yield(&c, why) {
 				return
 			}
 		}
 	}
 }
 
-func (w *weighing) candidate(r *record) Choice {
+func (e *evaluation) candidate(r *record) Choice {
 	return Choice{
-		board: w.board, record: r, query: w.query, speed: w.speed, slack: w.slack, pays: w.pays,
+		board: e.board, record: r, query: e.query, speed: e.speed,
+		storeDelay: e.storeDelay, storeUseful: e.storeUseful,
 		id: r.target.GetId(), address: r.target.GetAddress(),
 	}
 }
 
-// weighing is what all candidates of one choice share.
-type weighing struct {
+// evaluation is the state that all candidates of one choice share.
+type evaluation struct {
 	board *Board
 	query *Query
 	home  string
-	// inTime says that a run may still begin on some target's weights, halfNewest that
-	// half of the targets or more have the newest.
-	inTime     bool
+	// someInTime reports whether a run may still begin on the weights of some target, halfNewest
+	// whether at least half of the targets have the newest.
+	someInTime bool
 	halfNewest bool
-	// speed is that of the service's engines, slack the delay of the store of cached
-	// parts, and pays that the prompt's shared parts are worth its link.
-	speed   *mtspeed.Speed
-	slack   time.Duration
-	pays    bool
-	salts   map[int64]string
-	matches map[int64]map[string]mtholder.Match
+	// speed is the speed of the service's engines, storeDelay the delay of the store of cached
+	// parts, and storeUseful whether the prompt's shared parts are worth the use of its link.
+	speed       *mtspeed.Speed
+	storeDelay  time.Duration
+	storeUseful bool
+	salts       map[int64]string
+	matches     map[int64]map[string]mtholder.Match
 }
 
-func (b *Board) weighing(q *Query) *weighing {
-	w := &weighing{board: b, query: q, speed: b.speed(q.service)}
-	if b.without.store {
-		q.cache = ""
+func (b *Board) newEvaluation(q *Query) *evaluation {
+	e := &evaluation{board: b, query: q, speed: b.speedOf(q.service)}
+	if b.disabled.store {
+		q.store = ""
 	}
 	if q.model() == "" {
-		return w
+		return e
 	}
-	if q.cache != "" {
-		w.slack = b.delay(q.cache).now()
-		w.pays = q.sharedTokens() >= saveLeast && w.slack < share(storeAims, q.aim)
+	if q.store != "" {
+		e.storeDelay = b.delayOf(q.store).decayed()
+		e.storeUseful = q.sharedTokens() >= minSaveTokens && e.storeDelay < scale(maxStoreDelayAims, q.aim)
 	}
-	w.home = b.home(q)
-	w.look()
-	w.salts = map[int64]string{}
-	w.matches = map[int64]map[string]mtholder.Match{}
-	return w
+	e.home = b.home(q)
+	e.surveyWeights()
+	e.salts = map[int64]string{}
+	e.matches = map[int64]map[string]mtholder.Match{}
+	return e
 }
 
-// lack says what keeps a candidate from being considered; it sets the version of
-// its weights.
-func (w *weighing) lack(c *Choice) lack {
-	if w.query.excluded[c.id] {
-		return lackTried
+// whyUnfit returns why a candidate is not to be considered. It sets the version of its weights.
+func (e *evaluation) whyUnfit(c *Choice) unfitReason {
+	if e.query.excluded[c.id] {
+		return unfitTried
 	}
-	if w.query.foreign(c.record) {
-		return lackBuild
+	if e.query.wrongBuild(c.record) {
+		return unfitBuild
 	}
-	if w.query.withheld[c.id] || w.query.unlimited && w.board.limiter.Limited(c.id) {
-		return lackLimited
+	if e.query.withheld[c.id] || e.query.skipLimited && e.board.limiter.Limited(c.id) {
+		return unfitLimited
 	}
-	if l := c.record.lack(); l != lackNone || w.query.model() == "" {
-		return l
+	if why := c.record.whyUnfit(); why != unfitNone || e.query.model() == "" {
+		return why
 	}
-	c.version = c.record.weights(w.query.model())
-	naming := w.board.naming(w.query.model())
+	c.version = c.record.weightsVersion(e.query.model())
+	naming := e.board.naming(e.query.model())
 	c.behind = naming.Behind(c.version)
-	if w.inTime && w.board.late(c.behind) {
-		return lackOutdated
+	if e.someInTime && e.board.nearMaxStaleness(c.behind) {
+		return unfitOutdated
 	}
-	if w.halfNewest && naming.Uncertain(c.version) {
-		return lackOutdated
+	if e.halfNewest && naming.Uncertain(c.version) {
+		return unfitOutdated
 	}
-	return lackNone
+	return unfitNone
 }
 
-// weigh makes out a candidate's bill.
-func (w *weighing) weigh(c *Choice) {
-	q := w.query
+// estimate fills in a candidate's cost breakdown.
+func (e *evaluation) estimate(c *Choice) {
+	q := e.query
 	if q.model() == "" {
-		w.board.weighPlain(c)
+		e.board.estimatePlain(c)
 		return
 	}
-	if w.matches[c.version] == nil {
-		w.salts[c.version] = q.salt(c.version)
-		w.matches[c.version] = w.board.holders.Matches(w.salts[c.version], q.ask.GetParts())
+	if e.matches[c.version] == nil {
+		e.salts[c.version] = q.salt(c.version)
+		e.matches[c.version] = e.board.holders.Matches(e.salts[c.version], q.ask.GetParts())
 	}
-	c.salt = w.salts[c.version]
-	w.board.weigh(c, w.matches[c.version], c.id == w.home)
+	c.salt = e.salts[c.version]
+	e.board.estimateModel(c, e.matches[c.version], c.id == e.home)
 }
 
-// home is the target of the request's data centre to which its deepest shared
-// part hashes, so that all entries agree on it. A limited target is nobody's: whether it
-// takes a request changes many times a second.
+// home returns the target of the entry's data centre to which the request's deepest shared part
+// hashes, so that all entries agree on it. A target with a limit is never a home: whether it can
+// take a request changes many times a second.
 func (b *Board) home(q *Query) string {
 	part := deepest(q.ask)
 	if part == nil {
@@ -177,27 +177,27 @@
 		if r.target.GetDatacentre() != b.datacentre || b.limiter.Limited(r.target.GetId()) || !r.usable() {
 			continue
 		}
-		if score := xxh3.HashStringSeed(part.GetId(), r.hash); home == "" || score > best {
+		if score := xxh3.HashStringSeed(part.GetId(), r.idHash); home == "" || score > best {
 			best, home = score, r.target.GetId()
 		}
 	}
 	return home
 }
 
-// look goes over the weights of the service's usable targets.
-func (w *weighing) look() {
-	naming := w.board.naming(w.query.model())
+// surveyWeights compares the weights of the service's usable targets.
+func (e *evaluation) surveyWeights() {
+	naming := e.board.naming(e.query.model())
 	usable, newest := 0, 0
-	for _, r := range w.board.services[w.query.service.GetName()] {
+	for _, r := range e.board.services[e.query.service.GetName()] {
 		if !r.usable() {
 			continue
 		}
 		usable++
-		behind := naming.Behind(r.weights(w.query.model()))
+		behind := naming.Behind(r.weightsVersion(e.query.model()))
 		if behind == 0 {
 			newest++
 		}
-		w.inTime = w.inTime || !w.board.late(behind)
+		e.someInTime = e.someInTime || !e.board.nearMaxStaleness(behind)
 	}
-	w.halfNewest = 2*newest >= usable
+	e.halfNewest = 2*newest >= usable
 }
--- a/internal/placement/mtboard/cost.go
+++ b/internal/placement/mtboard/cost.go
@@ -8,104 +8,103 @@
 )
 
 const (
-	// fetchLeast is the least gain in tokens for which a fetch is asked: below
-	// it reading takes no longer.
-	fetchLeast = 64
-	// wasteShare is what a token costs, in times of its reading, that is read
-	// although another engine has it or is about to: the others' requests wait for
-	// that reading too, most of all when every cache is empty at once.
-	wasteShare = 2
-	// copyShare is the same for a token that is fetched though it stays where it
-	// was: the second copy displaces another token, which the next request for it
-	// reads again, at three times its reading with what that delays. Caches are full
-	// most of the time, and every other token that goes is asked for again.
-	copyShare = 1.5
-	// apartTokens is what another data centre costs, in tokens that are read: its
-	// way is some milliseconds, its bytes are dear in some fleets, and the prompt's
-	// parts are then kept in one data centre more.
-	apartTokens = 2560
-	// strayTokens is what a target that is not the prompt's home costs when nobody
-	// is known to hold the prompt: the other entries look for it at its home.
-	strayTokens = 800
-	// runShare is what one more request beside the others costs them, as a part of
-	// the time that a request needs besides its prompt: that is some ten steps of the
-	// engine, each of which takes a little longer, over the some 70 tokens of a usual
-	// answer.
-	runShare = 0.03
-	// olderShare is what weights cost that are no longer the newest, as a part of
-	// the route's aim, from olderAfter on: the answer counts for a fifth less, one
-	// that is late for two thirds less.
-	olderShare = 0.2
-	olderAfter = 1400 * time.Millisecond
-	// fullAims is what an engine without room in its memory or batch costs, in the
-	// route's aims: its newest runs would be preempted and read again, and be late.
-	fullAims = 1
-	// replacedCost is what a target costs at whose address another was listed
-	// later: it is almost surely gone.
-	replacedCost = 2 * time.Second
-	// fullShare of an engine's memory is where preemption comes near.
-	fullShare = 0.92
+	// minFetchTokens is the least gain in tokens for which a fetch is requested: below it,
+	// prefill takes no longer.
+	minFetchTokens = 64
+	// redundantFactor is the cost of a token that is prefilled although another engine has it or
+	// is about to, as a multiple of its prefill time. Other requests wait for that prefill too,
+	// most of all when every cache is empty at once.
+	redundantFactor = 2
+	// copyFactor is the same for a token that is fetched while the source keeps it. The second
+	// copy evicts another token, and the next request for that one prefills it again, which with
+	// the delay to others costs three times its prefill. Caches are full most of the time, and
+	// half of the evicted tokens are requested again.
+	copyFactor = 1.5
+	// distanceTokens is the cost of another data centre, in prefilled tokens. The way there takes
+	// some milliseconds, its traffic is expensive in some fleets, and the prompt's parts are then
+	// cached in one more data centre.
+	distanceTokens = 2560
+	// notHomeTokens is the cost, in prefilled tokens, of a target that is not the prompt's home
+	// when it has none of the prompt cached: the other entries look for the prompt at its home.
+	notHomeTokens = 800
+	// concurrencyShare is the cost of a further concurrent request to the others, as a part of
+	// the time that a request needs besides its prompt. That is some ten steps of the engine,
+	// each of which takes a little longer, over the some 70 tokens of a usual answer.
+	concurrencyShare = 0.03
+	// oldWeightsShare is the cost of weights that are no longer the newest, as a part of the
+	// route's aim, from oldWeightsAfter on. Such an answer is worth a fifth less; a late one is
+	// worth two thirds less.
+	oldWeightsShare = 0.2
+	oldWeightsAfter = 1400 * time.Millisecond
+	// noRoomAims is the cost of an engine without room in its memory or batch, as a multiple of
+	// the route's aim: its newest runs would be preempted, prefilled again, and late.
+	noRoomAims = 1
+	// replacedPenalty is the cost of a target at whose address another was listed later: it is
+	// almost certainly gone.
+	replacedPenalty = 2 * time.Second
+	// maxMemoryShare is the share of an engine's memory above which preemption is likely.
+	maxMemoryShare = 0.92
 )
 
-// weigh makes out the bill of a model engine, in time to the first token.
-func (b *Board) weigh(c *Choice, matches map[string]mtholder.Match, home bool) {
+// estimateModel fills in the cost breakdown of a model engine, in time to the first token.
+func (b *Board) estimateModel(c *Choice, matches map[string]mtholder.Match, home bool) {
 	q, r, speed := c.query, c.record, c.speed
 	own := matches[c.id]
 	c.matched = own.Tokens
-	c.kept = matches[q.cache].Tokens
+	c.storedTokens = matches[q.store].Tokens
 	source, fetched := b.source(c, matches)
 	c.fetch, c.fetched = source, fetched
 	left := max(0, q.ask.GetPrompt()-own.Tokens-fetched)
-	c.reads = left
-	c.work = mtspeed.NewWork(r.queued()+left, fetched)
-	c.bill[itemStart] = speed.Of(mtspeed.Start)
-	c.bill[itemQueue] = speed.Tokens(float64(r.queued()))
-	c.bill[itemRead] = speed.Tokens(float64(left))
+	c.prefillTokens = left
+	c.work = mtspeed.NewWork(r.queuedTokens()+left, fetched)
+	c.breakdown[itemStart] = speed.Of(mtspeed.Start)
+	c.breakdown[itemQueue] = speed.Tokens(float64(r.queuedTokens()))
+	c.breakdown[itemPrefill] = speed.Tokens(float64(left))
 	if fetched > 0 {
-		c.bill[itemFetch] = speed.Of(mtspeed.Begin) + time.Duration(fetched)*speed.Of(mtspeed.Fetch)
+		c.breakdown[itemFetch] = speed.Of(mtspeed.Begin) + time.Duration(fetched)*speed.Of(mtspeed.Fetch)
 	}
-	c.estimate = c.bill.sum()
-	pace := r.pace.now()
-	for i := range c.bill {
-		c.bill[i] = time.Duration(float64(c.bill[i]) * pace)
+	c.baseEstimate = c.breakdown.sum()
+	ratio := r.latency.value()
+	for i := range c.breakdown {
+		c.breakdown[i] = time.Duration(float64(c.breakdown[i]) * ratio)
 	}
-	if fetched > 0 && source == q.cache {
-		c.stored = true
-		c.bill[itemFetch] += c.slack
+	if fetched > 0 && source == q.store {
+		c.fromStore = true
+		c.breakdown[itemFetch] += c.storeDelay
 	}
-	c.expected = c.bill.sum()
-	c.wait = c.bill[itemQueue]
-	c.bill[itemRuns] = time.Duration(float64(r.others()+r.running) * runShare * float64(speed.Of(mtspeed.Start)))
+	c.expected = c.breakdown.sum()
+	c.wait = c.breakdown[itemQueue]
+	c.breakdown[itemConcurrency] = time.Duration(float64(r.otherRequests()+r.running) * concurrencyShare * float64(speed.Of(mtspeed.Start)))
 	if r.target.GetDatacentre() != b.datacentre {
-		c.bill[itemApart] = speed.Tokens(apartTokens)
+		c.breakdown[itemDistance] = speed.Tokens(distanceTokens)
 	}
 	if !home && own.Tokens == 0 && len(q.shared()) > 0 {
-		c.bill[itemStray] = speed.Tokens(strayTokens)
+		c.breakdown[itemNotHome] = speed.Tokens(notHomeTokens)
 	}
-	c.bill[itemWaste] = speed.Tokens(wasteShare * float64(wasted(c, matches)))
-	c.bill[itemCopy] = speed.Tokens(copyShare * float64(fetched))
-	if c.behind > olderAfter {
-		c.bill[itemOlder] = share(olderShare, q.aim)
+	c.breakdown[itemRedundant] = speed.Tokens(redundantFactor * float64(redundantTokens(c, matches)))
+	c.breakdown[itemCopy] = speed.Tokens(copyFactor * float64(fetched))
+	if c.behind > oldWeightsAfter {
+		c.breakdown[itemOldWeights] = scale(oldWeightsShare, q.aim)
 	}
 	if r.full(q) {
-		c.bill[itemFull] = share(fullAims, q.aim)
+		c.breakdown[itemNoRoom] = scale(noRoomAims, q.aim)
 	}
-	r.doubts(&c.bill)
+	r.addPenalties(&c.breakdown)
 }
 
-func share(of float64, d time.Duration) time.Duration { return time.Duration(of * float64(d)) }
+func scale(of float64, d time.Duration) time.Duration { return time.Duration(of * float64(d)) }
 
-// doubts are what speaks against a target besides its load.
-func (r *record) doubts(b *bill) {
-	b[itemFaults] = r.faults.cost()
+// addPenalties adds the costs of a target that do not depend on its load.
+func (r *record) addPenalties(b *costBreakdown) {
+	b[itemFaults] = r.failures.penalty()
 	if r.replaced {
-		b[itemReplaced] = replacedCost
+		b[itemReplaced] = replacedPenalty
 	}
 }
 
-// wasted are the shared tokens that the target would read although another has
-// them, or is about to.
-func wasted(c *Choice, matches map[string]mtholder.Match) int64 {
+// redundantTokens returns the number of shared tokens that the target would prefill although
+// another has them, or is about to.
+func redundantTokens(c *Choice, matches map[string]mtholder.Match) int64 {
 	var known int64
 	for _, match := range matches {
 		known = max(known, match.Tokens)
@@ -113,25 +112,25 @@
 	return max(0, min(known, c.query.sharedTokens())-c.matched-c.fetched)
 }
 
-// source names whom to fetch from what the target lacks of the prompt's shared
-// parts, and how many tokens that saves.
+// source returns the address to fetch missing shared parts of the prompt from, and how many
+// tokens that saves.
 func (b *Board) source(c *Choice, matches map[string]mtholder.Match) (string, int64) {
 	own := matches[c.id]
 	var best mtholder.Match
 	address, local := "", false
 	for id, match := range matches {
-		from, near := b.holder(c, id)
-		if from == "" || match.Read < own.Tokens+fetchLeast {
+		from, near := b.fetchAddress(c, id)
+		if from == "" || match.Read < own.Tokens+minFetchTokens {
 			continue
 		}
 		if match.Read > best.Read || match.Read == best.Read && near && !local {
 			best, address, local = match, from, near
 		}
 	}
-	if address == "" && c.pays {
-		// The store may hold parts that this process has not heard of; a miss costs a
+	if address == "" && c.storeUseful {
+		// The store may hold parts that this process does not know of; a miss costs a
 		// millisecond.
-		return c.query.cache, 0
+		return c.query.store, 0
 	}
 	if address == "" {
 		return "", 0
@@ -139,26 +138,27 @@
 	return address, best.Read - own.Tokens
 }
 
-// storeAims is the part of the route's aim that fetches from a store may wait for its
-// link: their answers are in time then, and while they wait their engines read other
-// prompts.
-const storeAims = 0.5
+// maxStoreDelayAims is how long fetches from a store may wait for its link, as a part of the
+// route's aim. Their answers are still in time then, and their engines prefill other prompts
+// meanwhile.
+const maxStoreDelayAims = 0.5
 
-// holder returns the address of a holder that can be fetched from, "" where it
-// can't, and whether it is in the target's data centre.
-func (b *Board) holder(c *Choice, id string) (string, bool) {
-	if id == c.query.cache {
+// fetchAddress returns the address of a holder of cached parts, "" if it can't be fetched from,
+// and whether it is in the target's data centre.
+func (b *Board) fetchAddress(c *Choice, id string) (string, bool) {
+	if id == c.query.store {
 		return id, false
 	}
 	r := b.records[id]
-	if id == c.id || r == nil || time.Now().Before(r.faults.out) {
+	if id == c.id || r == nil || time.Now().Before(r.failures.excludedUntil) {
 		return "", false
 	}
 	return r.target.GetAddress(), r.target.GetDatacentre() == c.record.target.GetDatacentre()
 }
 
-// others are the requests of other entries on the target, by its sidecar.
-func (r *record) others() int {
+// otherRequests returns the number of requests of other entries on the target, as its sidecar
+// reports.
+func (r *record) otherRequests() int {
 	if !r.fresh() {
 		return 0
 	}
@@ -166,33 +166,35 @@
 	return max(0, int(report.GetRunning()+report.GetWaiting())-r.running)
 }
 
-// queued are the prompt tokens that wait to be read on the target.
-func (r *record) queued() int64 {
+// queuedTokens returns the number of prompt tokens that wait for prefill on the target.
+func (r *record) queuedTokens() int64 {
 	if !r.fresh() {
 		return r.pending
 	}
 	return r.pending + r.state.GetPending()
 }
 
-// full says that the request would not fit beside what runs.
+// full reports whether the request would not fit beside those running.
 func (r *record) full(q *Query) bool {
 	if !r.fresh() || r.state.GetReport().GetTotal() == 0 {
 		return false
 	}
 	report := r.state.GetReport()
-	need := float64(report.GetUsed() + r.queued() + q.ask.GetPrompt() + q.ask.GetOutput())
-	if need > fullShare*float64(report.GetTotal()) {
+	need := float64(report.GetUsed() + r.queuedTokens() + q.ask.GetPrompt() + q.ask.GetOutput())
+	if need > maxMemoryShare*float64(report.GetTotal()) {
 		return true
 	}
 	slots := int(r.target.GetSlots())
-	return slots > 0 && r.running+r.others() >= slots
+	return slots > 0 && r.running+r.otherRequests() >= slots
 }
 
-// late says that the time allowed for weights is nearly over, where newer ones were named
-// so long ago: their target is left out while another's are in time.
-func (b *Board) late(behind time.Duration) bool { return behind > share(oldShare, b.allowed) }
+// nearMaxStaleness reports whether weights superseded that long ago are close to maxStaleness.
+// Their targets are left out while others are in time.
+func (b *Board) nearMaxStaleness(behind time.Duration) bool {
+	return behind > scale(staleCutoffShare, b.maxStaleness)
+}
 
-// expires says that a run would begin after the time allowed for its weights.
-func (b *Board) expires(c *Choice) bool {
-	return b.allowed > 0 && c.behind > 0 && c.behind+c.expected > share(endShare, b.allowed)
+// exceedsMaxStaleness reports whether a run is expected to begin too late for its weights.
+func (b *Board) exceedsMaxStaleness(c *Choice) bool {
+	return b.maxStaleness > 0 && c.behind > 0 && c.behind+c.expected > scale(staleDeadlineShare, b.maxStaleness)
 }
--- a/internal/placement/mtboard/faults.go
+++ b/internal/placement/mtboard/faults.go
@@ -6,93 +6,93 @@
 )
 
 const (
-	// faultHalf is the time in which a target's share of failures counts half:
-	// engines are back some seconds after a crash, and one that fails in part
-	// must be tried again now and then to be seen well.
-	faultHalf = 2 * time.Second
-	// faultStep is how far one outcome moves the share.
-	faultStep = 0.3
-	// faultCost is the cost of a share of 1: above it no target in sound state
-	// is passed over for one that fails each request.
-	faultCost = 3 * time.Second
-	// outFirst and outLast bound how long a target that can't be reached is left
-	// out: an engine's restart takes about a second; the last is short beside
-	// the seconds in which an entry lapses.
-	outFirst = 300 * time.Millisecond
-	outLast  = 2 * time.Second
+	// faultHalfLife is the half-life of a target's failure rate. Engines are back some seconds
+	// after a crash, and one that fails only sometimes must be tried now and then for its
+	// recovery to be seen.
+	faultHalfLife = 2 * time.Second
+	// faultWeight is the weight of one outcome in the failure rate.
+	faultWeight = 0.3
+	// faultPenalty is the cost of a failure rate of 1. It is high enough that no healthy target
+	// is passed over for one that fails every request.
+	faultPenalty = 3 * time.Second
+	// minExclusion and maxExclusion bound how long an unreachable target is left out. An engine's
+	// restart takes about a second; the maximum is short compared with the seconds in which an
+	// entry expires.
+	minExclusion = 300 * time.Millisecond
+	maxExclusion = 2 * time.Second
 )
 
-// faults is the recent share of a target's failures.
-type faults struct {
-	share float64
-	at    time.Time
-	out   time.Time
-	pause time.Duration
+// failureRate is the recent rate of a target's failures.
+type failureRate struct {
+	rate          float64
+	updatedAt     time.Time
+	excludedUntil time.Time
+	exclusion     time.Duration
 }
 
-// now is the share, which fades with time.
-func (f *faults) now() float64 {
-	if f.share == 0 {
+// decayed returns the rate, decayed to the present.
+func (f *failureRate) decayed() float64 {
+	if f.rate == 0 {
 		return 0
 	}
-	return f.share * fade(f.at, faultHalf)
+	return f.rate * decay(f.updatedAt, faultHalfLife)
 }
 
-// fade is the part that counts of what was seen at a time and counts half after
-// each half.
-func fade(at time.Time, half time.Duration) float64 {
-	return math.Exp2(-time.Since(at).Seconds() / half.Seconds())
+// decay returns the remaining weight of a value observed at a time.
+func decay(at time.Time, halfLife time.Duration) float64 {
+	return math.Exp2(-time.Since(at).Seconds() / halfLife.Seconds())
 }
 
-func (f *faults) good() {
-	f.share = f.now() * (1 - faultStep)
-	f.at = time.Now()
-	f.pause = 0
-	f.out = time.Time{}
+func (f *failureRate) recordSuccess() {
+	f.rate = f.decayed() * (1 - faultWeight)
+	f.updatedAt = time.Now()
+	f.exclusion = 0
+	f.excludedUntil = time.Time{}
 }
 
-func (f *faults) bad() {
-	f.share = f.now()*(1-faultStep) + faultStep
-	f.at = time.Now()
+func (f *failureRate) recordFailure() {
+	f.rate = f.decayed()*(1-faultWeight) + faultWeight
+	f.updatedAt = time.Now()
 }
 
-// unreached leaves the target out for a time that doubles.
-func (f *faults) unreached() {
-	f.bad()
-	f.pause = min(max(outFirst, 2*f.pause), outLast)
-	f.out = time.Now().Add(f.pause)
+// recordUnreachable leaves the target out for a time that doubles.
+func (f *failureRate) recordUnreachable() {
+	f.recordFailure()
+	f.exclusion = min(max(minExclusion, 2*f.exclusion), maxExclusion)
+	f.excludedUntil = time.Now().Add(f.exclusion)
 }
 
-func (f *faults) cost() time.Duration {
-	return time.Duration(f.now() * float64(faultCost))
+func (f *failureRate) penalty() time.Duration {
+	return time.Duration(f.decayed() * float64(faultPenalty))
 }
 
 const (
-	// paceStep is how far one measured first token moves a target's pace.
-	paceStep = 0.2
-	// paceLeast and paceMost bound it: a single late packet must not make a
-	// target look stopped.
-	paceLeast = 0.7
-	paceMost  = 8
+	// latencyRatioWeight is the weight of one measured first token in a target's ratio.
+	latencyRatioWeight = 0.2
+	// minLatencyRatio and maxLatencyRatio bound a sample: a single late packet must not make a
+	// target look stalled.
+	minLatencyRatio = 0.7
+	maxLatencyRatio = 8
 )
 
-// pace is how much longer a target takes than estimated; 0 means not measured.
-type pace struct {
-	factor float64
+// latencyRatio is the mean ratio of a target's measured to its estimated times; a mean of 0 means
+// not measured.
+type latencyRatio struct {
+	mean float64
 }
 
-func (p *pace) now() float64 {
-	if p.factor == 0 {
+func (l *latencyRatio) value() float64 {
+	if l.mean == 0 {
 		return 1
 	}
-	return p.factor
+	return l.mean
 }
 
-// learn takes in one estimate and what it took.
-func (p *pace) learn(estimate, took time.Duration) {
+// learn adds a sample: an estimate and the time measured.
+func (l *latencyRatio) learn(estimate, took time.Duration) {
 	if estimate <= 0 {
 		return
 	}
-	ratio := min(paceMost, max(paceLeast, float64(took)/float64(estimate)))
-	p.factor = p.now()*(1-paceStep) + ratio*paceStep
+	ratio := min(maxLatencyRatio, max(minLatencyRatio, float64(took)/float64(estimate)))
+	l.mean = l.value()*(1-latencyRatioWeight) + ratio*latencyRatioWeight
 }
--- a/internal/placement/mtboard/speed.go
+++ b/internal/placement/mtboard/speed.go
@@ -5,8 +5,8 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtspeed"
 )
 
-// speed is that of a service's engines; the board is locked.
-func (b *Board) speed(service *fleetv1.Service) *mtspeed.Speed {
+// speedOf returns the speed of a service's engines. The caller holds the board's lock.
+func (b *Board) speedOf(service *fleetv1.Service) *mtspeed.Speed {
 	s := b.speeds[service.GetName()]
 	if s == nil {
 		s = mtspeed.New(service.GetTransfer().AsDuration())
@@ -15,49 +15,47 @@
 	return s
 }
 
-// Speeds are what was learned of the services' engines, where enough answers were
-// seen.
+// Speeds returns the learned speeds of the services' engines, where enough answers were seen.
 func (b *Board) Speeds() []*fleetv1.Speed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []*fleetv1.Speed
 	for service := range b.speeds {
-		if told := b.learned(service); told != nil {
-			list = append(list, told)
+		if speed := b.learned(service); speed != nil {
+			list = append(list, speed)
 		}
 	}
 	return list
 }
 
-// Speed is what was learned of one service's engines; nil until that is enough to
-// be relied on.
+// Speed returns the learned speed of one service's engines, nil until it is reliable.
 func (b *Board) Speed(service string) *fleetv1.Speed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.learned(service)
 }
 
-// learned is Speed for a board that is locked.
+// learned implements Speed. The caller holds the board's lock.
 func (b *Board) learned(service string) *fleetv1.Speed {
 	s := b.speeds[service]
 	if s == nil {
 		return nil
 	}
-	told := s.Tell()
-	if told != nil {
-		told.Service = service
+	speed := s.Tell()
+	if speed != nil {
+		speed.Service = service
 	}
-	return told
+	return speed
 }
 
-// Adopt takes over what another process has learned of a service's engines, where
-// this one knows too little itself: a restarted entry would choose and refuse by
-// the figures of engines that do not stand here. It reports whether it did.
-func (b *Board) Adopt(told *fleetv1.Speed) bool {
-	if told.GetService() == "" {
+// Adopt takes over the speed that another process has learned of a service's engines, if this one
+// knows too little itself. Otherwise a restarted entry would choose and refuse by figures of
+// engines that are not in this fleet. It reports whether it did.
+func (b *Board) Adopt(speed *fleetv1.Speed) bool {
+	if speed.GetService() == "" {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.without.speeds && b.speed(&fleetv1.Service{Name: told.GetService()}).Adopt(told)
+	return !b.disabled.speeds && b.speedOf(&fleetv1.Service{Name: speed.GetService()}).Adopt(speed)
 }
--- a/internal/placement/mtboard/turns.go
+++ b/internal/placement/mtboard/turns.go
@@ -9,114 +9,114 @@
 	"github.com/mustardtide/mustardtide/internal/relay/mtturns"
 )
 
-// oneQueue is the greatest number of engines that load weights in one queue: of so
-// many an entry hears all within a second. In a larger fleet each data centre has a
-// queue of its own, which its entries can see move.
-const oneQueue = 60
+// maxSingleQueue is the largest number of engines that load weights in one queue: an entry hears
+// from that many within a second. In a larger fleet, each data centre has its own queue, whose
+// progress its entries can see.
+const maxSingleQueue = 60
 
-// lateShare is the part of the time between two words of a sidecar by which one may be
-// late.
-const lateShare = 0.25
+// lateTolerance is by how much a sidecar's heartbeat may be late, as a part of its interval.
+const lateTolerance = 0.25
 
-// Queues are those in which a service's engines load weights.
+// Queues are the queues in which a service's engines load weights.
 type Queues struct {
-	whole bool
-	of    map[string]*mtturns.Turns
+	fleetWide bool
+	byGroup   map[string]*mtturns.Turns
 }
 
-// Whole says that there is one for the whole fleet.
-func (q *Queues) Whole() bool { return q.whole }
+// Whole reports whether there is one queue for the whole fleet.
+func (q *Queues) Whole() bool { return q.fleetWide }
 
-// Of returns an engine's turn.
+// Of returns an engine's position in its queue.
 func (q *Queues) Of(target *fleetv1.Target) *fleetv1.Turn {
-	turns := q.of[q.group(target)]
+	turns := q.byGroup[q.group(target)]
 	if turns == nil {
 		return nil
 	}
 	return turns.Of(target.GetId())
 }
 
-// group is the part of the fleet that shares an engine's queue.
+// group returns the key of the queue that an engine belongs to: its data centre, or "" for one
+// queue in the whole fleet.
 func (q *Queues) group(target *fleetv1.Target) string {
-	if q.whole {
+	if q.fleetWide {
 		return ""
 	}
 	return target.GetDatacentre()
 }
 
-// Queues works out in which order the service's engines load weights. Each sidecar of the
-// entry's data centre is heard after near, each of the others after far.
+// Queues computes the order in which the service's engines load weights. near is the heartbeat
+// interval of sidecars in the entry's data centre, far that of the others.
 func (b *Board) Queues(service *fleetv1.Service, near, far time.Duration) *Queues {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	records := b.services[service.GetName()]
-	q := &Queues{whole: len(records) <= oneQueue, of: map[string]*mtturns.Turns{}}
+	q := &Queues{fleetWide: len(records) <= maxSingleQueue, byGroup: map[string]*mtturns.Turns{}}
 	groups := map[string][]*record{}
 	for _, r := range records {
 		group := q.group(r.target)
 		groups[group] = append(groups[group], r)
 	}
 	for group, list := range groups {
-		q.of[group] = b.turns(service, group, list, near, far)
+		q.byGroup[group] = b.arrangeQueue(service, group, list, near, far)
 	}
 	return q
 }
 
-// turns works out one queue. An engine's runs are given the mean length of an answer
-// to end: longer, and engines wait on a heavy day for a few long answers; shorter, and
-// more of what was begun counts for nothing.
-func (b *Board) turns(service *fleetv1.Service, group string, records []*record, near, far time.Duration) *mtturns.Turns {
+// arrangeQueue computes the order of one queue. An engine's runs get the mean length of an answer
+// to finish. With more, engines wait on a busy day for a few long answers; with less, more of the
+// work begun is lost.
+func (b *Board) arrangeQueue(service *fleetv1.Service, group string, records []*record, near, far time.Duration) *mtturns.Turns {
 	naming := b.naming(service.GetModel())
-	knee := queue{service.GetName(), group}
-	turns := mtturns.New(b.allowed, naming.Age(), b.speed(service).Answer(), b.knees[knee])
+	key := queueKey{service.GetName(), group}
+	turns := mtturns.New(b.maxStaleness, naming.Age(), b.speedOf(service).Answer(), b.loadLimits[key])
 	newest := naming.Newest().GetVersion()
 	for _, r := range records {
-		if r.replaced || r.leaves() {
+		if r.replaced || r.leaving() {
 			continue
 		}
 		round := far
 		if r.target.GetDatacentre() == b.datacentre {
 			round = near
 		}
-		if !r.placed(round) {
+		if !r.positionCurrent(round) {
 			turns.Put(r.target.GetId(), false, false, nil, 0)
 			continue
 		}
-		// An engine that is down takes no turn: as the first of the queue it would
-		// hold all others up.
-		behind := r.state.GetAnswers() && r.weights(service.GetModel()) < newest
+		// An engine that is down gets no turn: at the head of the queue it would block all
+		// others.
+		behind := r.state.GetAnswers() && r.weightsVersion(service.GetModel()) < newest
 		last := r.state.GetLoad()
 		if last == nil {
 			last = &fleetv1.Load{}
 		}
-		turns.Put(r.target.GetId(), behind, r.state.GetOrdering(), last, time.Since(r.heard))
+		turns.Put(r.target.GetId(), behind, r.state.GetOrdering(), last, time.Since(r.stateAt))
 	}
 	seed := uint64(naming.Newest().GetRevision())
 	turns.Arrange(func(id string) uint64 { return xxh3.HashStringSeed(id, seed) })
-	b.knees[knee] = turns.Knee()
+	b.loadLimits[key] = turns.Knee()
 	return turns
 }
 
-// placed says that the sidecar's word still tells the engine's place in its queue: until
-// the next one, which comes after round, should be there.
-func (r *record) placed(round time.Duration) bool {
-	late := time.Duration(lateShare * float64(round))
-	return r.fresh() || r.state != nil && time.Since(r.heard) < round+late
+// positionCurrent reports whether the sidecar's last state still gives the engine's position in
+// its queue: until the next one is due, after round plus some tolerance.
+func (r *record) positionCurrent(round time.Duration) bool {
+	late := time.Duration(lateTolerance * float64(round))
+	return r.fresh() || r.state != nil && time.Since(r.stateAt) < round+late
 }
 
-// Outdated lists the service's engines that are not known to have the newest weights; none
-// where these were named longer ago than older ones are allowed.
+// Outdated returns the service's engines that are not known to have the newest weights. It
+// returns none once these were announced longer ago than older ones are allowed.
 func (b *Board) Outdated(service *fleetv1.Service) []*fleetv1.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	naming := b.naming(service.GetModel())
-	if naming.Age() > b.allowed {
+	if naming.Age() > b.maxStaleness {
 		return nil
 	}
 	newest := naming.Newest().GetVersion()
 	var list []*fleetv1.Target
 	for _, r := range b.services[service.GetName()] {
-		if !r.replaced && !r.leaves() && r.weights(service.GetModel()) < newest {
+		if !r.replaced && !r.leaving() && r.weightsVersion(service.GetModel()) < newest {
 			list = append(list, r.target)
 		}
 	}
--- a/internal/placement/mtboard/why.go
+++ b/internal/placement/mtboard/why.go
@@ -6,97 +6,96 @@
 	"time"
 )
 
-// lack is what keeps a target from being considered.
-type lack int
+// unfitReason is why a target is not considered.
+type unfitReason int
 
 const (
-	lackNone lack = iota
-	lackTried
-	lackBuild
-	lackLeaving
-	lackMisplaced
-	lackPaused
-	lackLimited
-	lackUnreached
-	lackSilent
-	lackLoading
-	lackOutdated
-	lacks
+	unfitNone unfitReason = iota
+	unfitTried
+	unfitBuild
+	unfitLeaving
+	unfitWrongProgram
+	unfitPaused
+	unfitLimited
+	unfitUnreachable
+	unfitUnresponsive
+	unfitLoading
+	unfitOutdated
+	numUnfitReasons
 )
 
-// reasons are what the lacks are called in logs and refusals.
-var reasons = [lacks]string{
-	lackTried:     "tried",
-	lackBuild:     "of other software versions",
-	lackLeaving:   "leaving",
-	lackMisplaced: "replaced",
-	lackPaused:    "asked for a pause",
-	lackLimited:   "at their limits",
-	lackUnreached: "unreached of late",
-	lackSilent:    "silent",
-	lackLoading:   "loading weights",
-	lackOutdated:  "with outdated weights",
+// unfitTexts are the texts of the reasons in logs and refusals.
+var unfitTexts = [numUnfitReasons]string{
+	unfitTried:        "tried",
+	unfitBuild:        "of other software versions",
+	unfitLeaving:      "leaving",
+	unfitWrongProgram: "replaced",
+	unfitPaused:       "asked for a pause",
+	unfitLimited:      "at their limits",
+	unfitUnreachable:  "recently unreachable",
+	unfitUnresponsive: "silent",
+	unfitLoading:      "loading weights",
+	unfitOutdated:     "with outdated weights",
 }
 
-// lack says what keeps the target from being given requests at all.
-func (r *record) lack() lack {
+// whyUnfit returns why the target must not be sent any requests.
+func (r *record) whyUnfit() unfitReason {
 	switch {
-	case r.leaves():
-		return lackLeaving
-	case r.misplaced:
-		return lackMisplaced
+	case r.leaving():
+		return unfitLeaving
+	case r.wrongProgram:
+		return unfitWrongProgram
 	case r.board.pauses.Remaining(r.target.GetId()) > 0:
-		return lackPaused
+		return unfitPaused
 	case r.board.limiter.Wait(r.target.GetId()) > 0:
-		return lackLimited
-	case time.Now().Before(r.faults.out):
-		return lackUnreached
+		return unfitLimited
+	case time.Now().Before(r.failures.excludedUntil):
+		return unfitUnreachable
 	case r.fresh() && !r.state.GetAnswers():
-		return lackSilent
+		return unfitUnresponsive
 	case r.fresh() && r.state.GetOrdering():
-		return lackLoading
+		return unfitLoading
 	default:
-		return lackNone
+		return unfitNone
 	}
 }
 
-// usable says that the target may be given requests at all.
-func (r *record) usable() bool { return r.lack() == lackNone }
+// usable reports whether the target may be sent requests at all.
+func (r *record) usable() bool { return r.whyUnfit() == unfitNone }
 
-// unfit counts the targets that were not considered, by what they lack.
-type unfit [lacks]int
+// unfit counts the targets that were not considered, by reason.
+type unfit [numUnfitReasons]int
 
 func (u *unfit) String() string {
 	var parts []string
-	for l, count := range u {
-		if lack(l) != lackNone && count > 0 {
-			parts = append(parts, fmt.Sprintf("%d %s", count, reasons[l]))
+	for reason, count := range u {
+		if unfitReason(reason) != unfitNone && count > 0 {
+			parts = append(parts, fmt.Sprintf("%d %s", count, unfitTexts[reason]))
 		}
 	}
 	return strings.Join(parts, ", ")
 }
 
-// Unfit says how many of the service's targets were not considered, and why;
-// empty where all were.
+// Unfit describes how many of the service's targets were not considered, and why; "" if all were.
 func (c *Choice) Unfit() string { return c.unfit.String() }
 
-// Lacks says why no target could be chosen: how many of the service's are known
-// and what keeps each from use.
+// Lacks describes why no target could be chosen: how many of the service's targets are
+// known, and why they are unfit.
 func (b *Board) Lacks(q *Query) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all unfit
 	known := 0
-	for _, l := range b.weighing(q).candidates() {
-		all[l]++
+	for _, why := range b.newEvaluation(q).candidates() {
+		all[why]++
 		known++
 	}
 	return fmt.Sprintf("%d known: %s", known, all.String())
 }
 
-// RetryAfter is when a request that no target can take should come back, where all that do not
-// leave have asked for a pause or are at their limits: when the first of them takes requests
-// again. 0 where others may take it sooner.
+// RetryAfter returns when to retry a request that no target can take, if all that are not leaving
+// have asked for a pause or are at their limits: when the first of them takes requests again. It
+// returns 0 if others may take it sooner.
 func (b *Board) RetryAfter(q *Query) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +103,7 @@
 	for _, r := range b.services[q.service.GetName()] {
 		left := max(b.pauses.Remaining(r.target.GetId()), b.limiter.Wait(r.target.GetId()))
 		switch {
-		case r.leaves() || q.foreign(r):
+		case r.leaving() || q.wrongBuild(r):
 		case left == 0:
 			return 0
 		case first == 0 || left < first:
--- a/internal/placement/mtboard/without.go
+++ b/internal/placement/mtboard/without.go
@@ -8,62 +8,61 @@
 	"github.com/gravitational/trace"
 )
 
-// without are mechanisms that are left out, to measure what each is worth. Nobody
-// who operates a fleet gains by it: each is worth something or guards something.
-type without struct {
-	// some says that there are any.
-	some  bool
-	items [items]bool
-	// store is that no store of cached parts is used, events that caches are not
-	// followed, pace that targets are taken to be alike, speeds that nothing is learned,
-	// asks that no sidecar is asked before a choice, and directory that holders are not
-	// looked for.
-	store, events, pace, speeds, asks, directory bool
+// disabledMechanisms are mechanisms that are switched off to measure what each is worth.
+// Operators gain nothing by it: each mechanism improves or protects something.
+type disabledMechanisms struct {
+	// anyItems reports whether any cost item is disabled.
+	anyItems bool
+	items    [numCostItems]bool
+	// store disables the store of cached parts, events following caches, pace measuring the
+	// latency ratios of targets, speeds learning the engines' speeds, probes probing before a
+	// choice, and directory looking up holders.
+	store, events, pace, speeds, probes, directory bool
 }
 
-// billed are the mechanisms that are items of a bill.
-var billed = map[string]item{
-	"runs":     itemRuns,
-	"distance": itemApart,
-	"home":     itemStray,
-	"waste":    itemWaste,
+// itemsByMechanism are the mechanisms that are items of the cost.
+var itemsByMechanism = map[string]costItem{
+	"runs":     itemConcurrency,
+	"distance": itemDistance,
+	"home":     itemNotHome,
+	"waste":    itemRedundant,
 	"copies":   itemCopy,
-	"older":    itemOlder,
-	"room":     itemFull,
+	"older":    itemOldWeights,
+	"room":     itemNoRoom,
 	"faults":   itemFaults,
 }
 
-// Without leaves mechanisms out of all later choices; it is for development only. An
-// error names those that can be left out.
+// Without switches off mechanisms for all later choices. It is for development only. An error
+// names the mechanisms that can be disabled.
 func (b *Board) Without(names ...string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	flags := map[string]*bool{
-		"store": &b.without.store, "events": &b.without.events,
-		"pace": &b.without.pace, "speeds": &b.without.speeds, "asks": &b.without.asks, "directory": &b.without.directory,
+		"store": &b.disabled.store, "events": &b.disabled.events,
+		"pace": &b.disabled.pace, "speeds": &b.disabled.speeds, "asks": &b.disabled.probes, "directory": &b.disabled.directory,
 	}
 	for _, name := range names {
 		if flag := flags[name]; flag != nil {
 			*flag = true
 			continue
 		}
-		i, ok := billed[name]
+		i, ok := itemsByMechanism[name]
 		if !ok {
-			known := slices.Sorted(maps.Keys(billed))
+			known := slices.Sorted(maps.Keys(itemsByMechanism))
 			known = append(known, slices.Sorted(maps.Keys(flags))...)
-			return trace.BadParameter("no mechanism is called %q; there are %s", name, strings.Join(known, ", "))
+			return trace.BadParameter("unknown mechanism %q; known mechanisms are %s", name, strings.Join(known, ", "))
 		}
-		b.without.items[i], b.without.some = true, true
+		b.disabled.items[i], b.disabled.anyItems = true, true
 	}
 	return nil
 }
 
-// leave takes the items off a bill that are left out.
-func (w *without) leave(b *bill) {
-	if !w.some {
+// clearItems zeroes the disabled items of a cost breakdown.
+func (d *disabledMechanisms) clearItems(b *costBreakdown) {
+	if !d.anyItems {
 		return
 	}
-	for i, out := range w.items {
+	for i, out := range d.items {
 		if out {
 			b[i] = 0
 		}
