--- a/internal/placement/mtboard/board_test.go
+++ b/internal/placement/mtboard/board_test.go
@@ -15,13 +15,13 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtnaming"
 )
 
-const allowed = 8 * time.Second
+const gracePeriod = 8 * time.Second
 
 var pool = &fleetv1.Service{Name: "pool", Model: "m", Slots: 8}
 
-// board is one with some engines in two data centres.
+// board returns a board with the given number of engines, spread over two data centres.
 func board(engines int) *mtboard.Board {
-	b := mtboard.New("north", allowed, mtlimiter.New("", mtlimit.New()))
+	b := mtboard.New("north", gracePeriod, mtlimiter.New("", mtlimit.New()))
 	list := map[string]*fleetv1.Target{}
 	for i := range engines {
 		id := fmt.Sprintf("e%d", i)
@@ -53,7 +53,7 @@
 	}}
 }
 
-// serve lets the engine that is chosen answer.
+// serve sends a query to the engine chosen for it, which answers it.
 func serve(b *mtboard.Board, q *mtboard.Query) *mtboard.Choice {
 	c := b.Choose(q)
 	c.Started(&fleetv1.Answer{})
@@ -61,8 +61,8 @@
 	return c
 }
 
-// Prompts that share their parts go to one home, and one that is sent elsewhere
-// fetches from there.
+// Guards against prompts with shared parts that go to different engines. One that is sent
+// to another engine must fetch the parts from the engine that has them cached.
 func TestSharedPromptsHaveAHome(t *testing.T) {
 	g := NewWithT(t)
 	b := board(8)
@@ -77,9 +77,10 @@
 	g.Expect(third.Fetch()).To(Equal(first.Address()))
 }
 
-// A burst of one hot prompt: beyond a point its requests go to other engines and
-// fetch what is shared, so that none waits behind ten others.
-func TestHotPromptSpreads(t *testing.T) {
+// Guards against a burst of one hot prompt that queues at a single engine. Some of its
+// requests must go to other engines and fetch the shared parts, so that none waits behind ten
+// others.
+func TestHotPromptIsSpread(t *testing.T) {
 	g := NewWithT(t)
 	b := board(8)
 	serve(b, query(9000, "rules", "dossier", "own"))
@@ -93,8 +94,9 @@
 	}
 }
 
-// What other entries have given an engine to read counts as what one's own has.
-func TestOthersPendingCounts(t *testing.T) {
+// Guards against an estimate of the wait that counts only the prompts which this entry sent,
+// not those of other entries.
+func TestPendingPromptsOfOtherEntriesCount(t *testing.T) {
 	g := NewWithT(t)
 	b := board(2)
 	q := query(9000, "rules", "dossier", "own")
@@ -106,16 +108,17 @@
 	g.Expect(b.Choose(q).Target()).NotTo(Equal(first.Target()))
 }
 
-// Guards against a request that an engine has no memory for: it would crash with all that
-// it runs. The engine that has its parts is passed over, until memory is free again.
-func TestEngineWithoutMemoryIsPassedOver(t *testing.T) {
+// Guards against a request that is sent to an engine without enough free memory: the engine
+// would crash with all its running requests. Although it has the parts cached, it is skipped
+// until memory is free again.
+func TestEngineWithoutMemoryIsSkipped(t *testing.T) {
 	g := NewWithT(t)
 	b := board(4)
 	first := serve(b, query(9000, "rules", "dossier", "own1"))
 	g.Expect(b.Choose(query(9000, "rules", "dossier", "own2")).Target()).To(Equal(first.Target()))
-	crowded := state(first.Target(), 1)
-	crowded.Report.Used = crowded.Report.GetTotal() - 6000
-	b.Hear(crowded)
+	full := state(first.Target(), 1)
+	full.Report.Used = full.Report.GetTotal() - 6000
+	b.Hear(full)
 	for i := range 8 {
 		c := serve(b, query(9000, "rules", "dossier", fmt.Sprint("own", 3+i)))
 		g.Expect(c.Target()).NotTo(Equal(first.Target()))
@@ -128,8 +131,9 @@
 	g.Expect(used).To(HaveKey(first.Target()))
 }
 
-// Failure: where every engine is outdated, requests begin on weights whose time is over.
-func TestNothingBeginsAfterTheTimeAllowed(t *testing.T) {
+// Guards against requests that begin on outdated weights after the grace period because all
+// engines are outdated.
+func TestNothingBeginsAfterTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
@@ -137,16 +141,17 @@
 		time.Sleep(7 * time.Second)
 		g.Expect(b.Choose(query(500, "q", "own"))).NotTo(BeNil())
 		time.Sleep(time.Second)
-		late := query(500, "q", "own")
-		g.Expect(b.Choose(late)).To(BeNil())
-		g.Expect(b.Lacks(late)).To(Equal("2 known: 2 with outdated weights"))
+		request := query(500, "q", "own")
+		g.Expect(b.Choose(request)).To(BeNil())
+		g.Expect(b.Lacks(request)).To(Equal("2 known: 2 with outdated weights"))
 		b.Hear(state("e1", 2))
-		g.Expect(b.Choose(late).Target()).To(Equal("e1"))
+		g.Expect(b.Choose(request).Target()).To(Equal("e1"))
 	})
 }
 
-// Failure: a request waits behind others' prompts until the weights' time is over.
-func TestWaitIsPartOfTheTimeAllowed(t *testing.T) {
+// Guards against a request that waits behind other prompts until the grace period of the
+// weights is over.
+func TestWaitCountsTowardsTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(1)
@@ -160,9 +165,10 @@
 	})
 }
 
-// Failure: nobody knows since when weights are named, and few engines with older ones are
-// used as if those were new; or most have older ones, and the few others get everything.
-func TestFewDoubtfulEnginesAreSpared(t *testing.T) {
+// Guards against two faults where the time of publication of the newest weights is unknown:
+// a few engines with older weights are used as if these were new, or most engines have older
+// weights and the few others get all requests.
+func TestFewEnginesWithUncertainWeightsAreAvoided(t *testing.T) {
 	g := NewWithT(t)
 	b := board(4)
 	b.Name(mtnaming.Listed(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2}))
@@ -181,8 +187,9 @@
 	g.Expect(used()).To(HaveLen(4))
 }
 
-// Failure: the log of a send doesn't tell why an engine with older weights was allowed.
-func TestChoiceSaysHowLongNewerWeightsWereNamed(t *testing.T) {
+// Guards against a send whose log line lacks the reason why an engine with older weights was
+// allowed: for how long newer weights have been published.
+func TestChoiceReportsAgeOfNewerWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(1)
@@ -193,9 +200,10 @@
 	})
 }
 
-// An engine about to load takes nothing; one whose weights are outdated neither,
-// while another has the newest; where none has, callers are served all the same.
-func TestOutdatedWeights(t *testing.T) {
+// Guards against requests that go to an engine with outdated weights while another one has
+// the newest, and against requests that are refused because no engine has them. An engine
+// about to load weights gets no requests.
+func TestEngineWithNewestWeightsIsPreferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
@@ -209,21 +217,21 @@
 		for range 20 {
 			g.Expect(b.Choose(query(500, "q", "own")).Target()).To(Equal("e1"))
 		}
-		ordering := state("e1", 3)
-		ordering.Ordering = true
-		b.Hear(ordering)
+		loading := state("e1", 3)
+		loading.Ordering = true
+		b.Hear(loading)
 		g.Expect(b.Choose(query(500, "q", "own"))).NotTo(BeNil())
 	})
 }
 
-// Failure: an engine comes back with weights that were replaced eight seconds ago, while
-// the others serve those of before the newest; requests are begun on it.
-func TestOutdatedBesideOneThatIsNot(t *testing.T) {
+// Guards against requests that begin on an engine which returns with weights replaced eight
+// seconds ago, while the other engines serve the version before the newest.
+func TestOutdatedEngineIsNotUsedBesideCurrentOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
-		for number := int64(2); number <= 4; number++ {
-			b.Name(&fleetv1.Weights{Model: "m", Version: number, Revision: number})
+		for version := int64(2); version <= 4; version++ {
+			b.Name(&fleetv1.Weights{Model: "m", Version: version, Revision: version})
 			time.Sleep(3 * time.Second)
 		}
 		b.Hear(state("e0", 1))
@@ -234,33 +242,33 @@
 	})
 }
 
-// Failure: the only engine with weights in time loads newer ones, and meanwhile runs are
-// begun on an engine that came back with weights whose whole time allowed is over.
-func TestOutdatedBesideOneThatLoads(t *testing.T) {
+// Guards against runs that begin on an engine which returned with weights past their grace
+// period, while the only engine with usable weights loads newer ones.
+func TestOutdatedEngineIsNotUsedWhileAnotherLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
 		b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
-		time.Sleep(allowed)
+		time.Sleep(gracePeriod)
 		b.Name(&fleetv1.Weights{Model: "m", Version: 3, Revision: 3})
 		time.Sleep(time.Second)
 		b.Hear(state("e0", 1))
-		loads := state("e1", 2)
-		loads.Ordering = true
-		b.Hear(loads)
-		g.Expect(b.Choose(query(500, "q", "own"))).To(BeNil(), "a run begins on weights that ran out a second ago")
+		loading := state("e1", 2)
+		loading.Ordering = true
+		b.Hear(loading)
+		g.Expect(b.Choose(query(500, "q", "own"))).To(BeNil(), "the grace period of its weights ended a second ago")
 	})
 }
 
-// A target that can't be reached is left out for a moment and then tried again;
-// one that fails a share of its requests gets few, and returns when it is well.
-func TestFaultyTargets(t *testing.T) {
+// Guards against a target that is never used again after it could not be reached once. It is
+// left out for a while and then tried again.
+func TestFaultyTargetIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
 		b.Choose(query(500, "q", "own")).End(mtboard.Unreached{})
-		reached := b.Choose(query(500, "q", "own"))
-		reached.End(mtboard.Good{})
+		retried := b.Choose(query(500, "q", "own"))
+		retried.End(mtboard.Good{})
 		time.Sleep(20 * time.Second)
 		used := map[string]bool{}
 		for range 40 {
@@ -271,8 +279,9 @@
 	})
 }
 
-// An isolated account's prompts are salted apart, and so are other weights.
-func TestSaltsSeparate(t *testing.T) {
+// Guards against cached parts that are shared between isolated accounts, or between versions
+// of the weights. Accounts that are not isolated share a salt.
+func TestSaltsSeparateAccountsAndWeights(t *testing.T) {
 	g := NewWithT(t)
 	b := board(1)
 	ask := &fleetv1.Ask{Model: "m", Prompt: 100, Parts: []*fleetv1.Part{{Id: "p", Tokens: 100}}}
@@ -281,24 +290,25 @@
 	}
 	shared := salt(&fleetv1.Account{Name: "a"})
 	g.Expect(salt(&fleetv1.Account{Name: "b"})).To(Equal(shared))
-	alone := salt(&fleetv1.Account{Name: "a", Isolated: true})
-	g.Expect(alone).NotTo(Equal(shared))
-	g.Expect(salt(&fleetv1.Account{Name: "b", Isolated: true})).NotTo(Equal(alone))
+	isolated := salt(&fleetv1.Account{Name: "a", Isolated: true})
+	g.Expect(isolated).NotTo(Equal(shared))
+	g.Expect(salt(&fleetv1.Account{Name: "b", Isolated: true})).NotTo(Equal(isolated))
 	b.Hear(state("e0", 2))
-	g.Expect(salt(&fleetv1.Account{Name: "a", Isolated: true})).NotTo(Equal(alone))
+	g.Expect(salt(&fleetv1.Account{Name: "a", Isolated: true})).NotTo(Equal(isolated))
 }
 
-// An engine starts again under its id: what it held before is void.
-func TestBornAnew(t *testing.T) {
+// Guards against parts that are taken to be cached at an engine which has restarted under
+// the same id.
+func TestRestartedEngineHasAnEmptyCache(t *testing.T) {
 	g := NewWithT(t)
 	b := board(1)
 	b.Hear(state("e0", 1))
 	first := b.Choose(query(6000, "rules", "dossier", "own"))
 	first.Started(&fleetv1.Answer{})
 	g.Expect(b.Choose(query(6000, "rules", "dossier", "own2")).Matched()).NotTo(BeZero())
-	again := state("e0", 1)
-	again.Report.Born = 2
-	b.Hear(again)
+	restarted := state("e0", 1)
+	restarted.Report.Born = 2
+	b.Hear(restarted)
 	g.Expect(b.Choose(query(6000, "rules", "dossier", "own3")).Matched()).To(BeZero())
 }
 
@@ -314,11 +324,12 @@
 	}
 }
 
-// Full caches, and prompts that share 4,000 tokens: whenever their holder had
-// 50 ms to read, the next request went elsewhere and fetched them there. The
-// copies pushed out what others asked for next, which was read again. A request
-// stays with the holder for a while, and leaves it where others idle for long.
-func TestCopiesAreNotFree(t *testing.T) {
+// Guards against copies of shared parts that evict other parts from full caches. With
+// prompts that share 4,000 tokens, as soon as their holder had 50 ms of prefill pending, the
+// next request went to another engine and fetched them there. The copies evicted parts that
+// were requested next and had to be prefilled again. A request must stay with the holder for a
+// short wait, and leave it for a long one.
+func TestPromptStaysWithItsHolderForShortWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(8)
@@ -326,14 +337,14 @@
 		busy := state(holder.Target(), 1)
 		busy.Pending = 4000 // 125 ms
 		b.Hear(busy)
-		stays := b.Choose(query(6000, "rules", "dossier", "own2"))
-		stays.End(mtboard.Left{})
-		g.Expect(stays.Target()).To(Equal(holder.Target()))
+		short := b.Choose(query(6000, "rules", "dossier", "own2"))
+		short.End(mtboard.Left{})
+		g.Expect(short.Target()).To(Equal(holder.Target()))
 		busy.Pending = 16_000 // 500 ms
 		b.Hear(busy)
-		leaves := b.Choose(query(6000, "rules", "dossier", "own3"))
-		leaves.End(mtboard.Left{})
-		g.Expect(leaves.Target()).NotTo(Equal(holder.Target()))
-		g.Expect(leaves.Fetch()).To(Equal(holder.Address()))
+		long := b.Choose(query(6000, "rules", "dossier", "own3"))
+		long.End(mtboard.Left{})
+		g.Expect(long.Target()).NotTo(Equal(holder.Target()))
+		g.Expect(long.Fetch()).To(Equal(holder.Address()))
 	})
 }
--- a/internal/placement/mtboard/build_test.go
+++ b/internal/placement/mtboard/build_test.go
@@ -16,9 +16,9 @@
 	"github.com/mustardtide/mustardtide/internal/relay/mtports"
 )
 
-// mixedBoard knows engines e0 to e3 of builds a, b, a and one whose entry names none.
+// mixedBoard returns a board with engines e0 to e3 of builds a, b, a and an unknown one.
 func mixedBoard() *mtboard.Board {
-	b := mtboard.New("north", allowed, mtlimiter.New("", mtlimit.New()))
+	b := mtboard.New("north", gracePeriod, mtlimiter.New("", mtlimit.New()))
 	list := map[string]*fleetv1.Target{}
 	for i, build := range []string{"a", "b", "a", ""} {
 		id := fmt.Sprint("e", i)
@@ -32,8 +32,8 @@
 	return b
 }
 
-// Failure: a stream goes on at a target of another build, or of one that is not known.
-func TestPinnedStreamGoesToItsBuildAlone(t *testing.T) {
+// Guards against a stream that is resumed at a target of another build or of an unknown one.
+func TestPinnedStreamGoesToItsBuildOnly(t *testing.T) {
 	for build, want := range map[string][]string{"a": {"e0", "e2"}, "b": {"e1"}, "c": nil, "": nil} {
 		g := NewWithT(t)
 		b, q := mixedBoard(), query(500, "q", "own")
@@ -49,9 +49,9 @@
 	}
 }
 
-// Failure: a program has started anew, the store still tells of the one before, and a stream goes
-// on there as if the software were the same.
-func TestPinnedStreamDoesNotGoToAProgramThatIsNotListed(t *testing.T) {
+// Guards against a stream that is resumed at a restarted program as if its software were the same,
+// because the store still lists the previous program.
+func TestPinnedStreamDoesNotGoToAnUnlistedProgram(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b, q := mixedBoard(), query(500, "q", "own")
@@ -61,12 +61,12 @@
 		b.Hear(&fleetv1.State{Target: "e1", Service: "pool", Answers: true, Report: &fleetv1.Report{Born: 2}})
 		g.Expect(b.Choose(q)).To(BeNil())
 		time.Sleep(3 * time.Second)
-		g.Expect(b.Choose(q)).To(BeNil(), "the sidecar has not spoken for a while")
+		g.Expect(b.Choose(q)).To(BeNil(), "no heartbeat for a while")
 	})
 }
 
-// Failure: a connection takes long, the program at its end has started anew meanwhile, and a stream
-// goes on there as if the software were the same.
+// Guards against a stream that is resumed at a restarted program as if its software were the same,
+// because the program restarted while the connection was being established.
 func TestPinnedChoiceIsWithdrawnWhenItsProgramRestarts(t *testing.T) {
 	g := NewWithT(t)
 	b, pinned, free := mixedBoard(), query(500, "q", "own"), query(500, "r", "own")
@@ -81,8 +81,8 @@
 	g.Expect(begun.Withdrawn()).To(BeFalse(), "any program of the service may begin a stream")
 }
 
-// Failure: a stream is said to be of the build that its target was listed with when it was
-// chosen, though another program began it.
+// Guards against a stream that is attributed to the build its target was listed with when it was
+// chosen, although another program began it.
 func TestBuildOfARestartedProgramIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	b, q := mixedBoard(), query(500, "q", "own")
@@ -95,9 +95,9 @@
 	g.Expect(c.Build()).To(BeEmpty())
 }
 
-// Failure: a caller whose stream no target of its build takes is told to come back at once, as
-// targets of other builds are free.
-func TestRetryAfterCountsTheBuildAlone(t *testing.T) {
+// Guards against a caller that is told to retry at once because targets of other builds are free,
+// although no target of its stream's build accepts requests.
+func TestRetryAfterCountsThePinnedBuildOnly(t *testing.T) {
 	g := NewWithT(t)
 	b, q := mixedBoard(), query(500, "q", "own")
 	q.Pin("b")
@@ -107,14 +107,14 @@
 	g.Expect(b.RetryAfter(query(500, "q", "own"))).To(BeZero())
 }
 
-// Failure: the entry that replicates a stream's origin, and the one that looks it up, select
-// different sidecars, as programs have started anew under other ids or a sidecar is gone.
+// Guards against different sidecars selected by the entry that replicates a stream's origin and by
+// the one that looks it up, because programs have restarted under other ids or a sidecar is gone.
 func TestReplicasAreTheSameForAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		one, other := mixedBoard(), mixedBoard()
+		first, second := mixedBoard(), mixedBoard()
 		for i := range 4 {
-			one.Hear(state(fmt.Sprint("e", i), 1))
+			first.Hear(state(fmt.Sprint("e", i), 1))
 		}
 		list := map[string]*fleetv1.Target{}
 		for i := range 4 {
@@ -123,16 +123,16 @@
 				Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 			}
 		}
-		other.List(list, func(*fleetv1.Target) bool { return false })
+		second.List(list, func(*fleetv1.Target) bool { return false })
 		key := []byte("stream")
-		stored := one.SidecarsOf(key, 2, true, time.Second)
-		asked := other.SidecarsOf(key, 4, false, time.Second)
-		g.Expect(stored).To(HaveLen(2))
-		for i, address := range stored {
-			g.Expect(mtports.Host(asked[i])).To(Equal(mtports.Host(address)))
+		storing := first.SidecarsOf(key, 2, true, time.Second)
+		lookedUp := second.SidecarsOf(key, 4, false, time.Second)
+		g.Expect(storing).To(HaveLen(2))
+		for i, address := range storing {
+			g.Expect(mtports.Host(lookedUp[i])).To(Equal(mtports.Host(address)))
 		}
 		time.Sleep(9 * time.Second)
-		g.Expect(one.SidecarsOf(key, 2, true, time.Second)).To(BeEmpty())
-		g.Expect(one.SidecarsOf(key, 2, false, time.Second)).To(Equal(stored))
+		g.Expect(first.SidecarsOf(key, 2, true, time.Second)).To(BeEmpty())
+		g.Expect(first.SidecarsOf(key, 2, false, time.Second)).To(Equal(storing))
 	})
 }
--- a/internal/placement/mtboard/plain_test.go
+++ b/internal/placement/mtboard/plain_test.go
@@ -13,19 +13,20 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtboard"
 )
 
-// Failure: a target says that work takes three times as long on its machine just now, and
-// gets the next request all the same; or is left alone for long after it said so.
-func TestSlowMachineIsLeftAloneForAMoment(t *testing.T) {
+// Guards against a target that gets the next request although it has just reported that work
+// takes three times as long on its machine, and against one that is still avoided long after
+// such a report.
+func TestSlowMachineIsAvoidedForAMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		b := mtboard.New("north", allowed, mtlimiter.New("", mtlimit.New()))
+		b := mtboard.New("north", gracePeriod, mtlimiter.New("", mtlimit.New()))
 		b.List(map[string]*fleetv1.Target{
 			"a": {Id: "a", Service: "app", Address: "10.0.0.1:80", Datacentre: "north", Slots: 6},
 			"b": {Id: "b", Service: "app", Address: "10.0.0.2:80", Datacentre: "north", Slots: 6},
 		}, func(*fleetv1.Target) bool { return false })
-		choose := func(without ...string) *mtboard.Choice {
+		choose := func(excluded ...string) *mtboard.Choice {
 			q := mtboard.NewQuery(&fleetv1.Service{Name: "app"}, &fleetv1.Ask{}, nil, "", 100*time.Millisecond)
-			for _, id := range without {
+			for _, id := range excluded {
 				q.Exclude(id)
 			}
 			return b.Choose(q)
@@ -47,6 +48,6 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 		serve(choose(slow), 300)
-		g.Expect(serve(choose(), 100)).To(Equal(slow), "what it said is over")
+		g.Expect(serve(choose(), 100)).To(Equal(slow), "the report has expired")
 	})
 }
--- a/internal/placement/mtboard/seek_bench_test.go
+++ b/internal/placement/mtboard/seek_bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkSidecarsOf(b *testing.B) {
 	for _, engines := range []int{18, 625, 2700} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			board := mtboard.New("north", allowed, mtlimiter.New("", mtlimit.New()))
+			board := mtboard.New("north", gracePeriod, mtlimiter.New("", mtlimit.New()))
 			list := map[string]*fleetv1.Target{}
 			for i := range engines {
 				id := fmt.Sprint("e", i)
--- a/internal/placement/mtboard/seek_test.go
+++ b/internal/placement/mtboard/seek_test.go
@@ -12,24 +12,26 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtboard"
 )
 
-// keepers names those of a prompt's deepest shared part, where sidecars are heard often.
-func keepers(b *mtboard.Board, q *mtboard.Query) []string {
-	return keepersAfter(b, q, time.Second)
+// directories returns the sidecars that store the holders of a prompt's deepest shared part,
+// with a heartbeat interval of one second.
+func directories(b *mtboard.Board, q *mtboard.Query) []string {
+	return directoriesWithInterval(b, q, time.Second)
 }
 
-// keepersAfter names them where each sidecar is heard after round.
-func keepersAfter(b *mtboard.Board, q *mtboard.Query, round time.Duration) []string {
+// directoriesWithInterval is directories with the given heartbeat interval.
+func directoriesWithInterval(b *mtboard.Board, q *mtboard.Query, interval time.Duration) []string {
 	parts := q.Ask().GetParts()
 	var names []string
-	for _, target := range b.Keepers(q, parts[len(parts)-2], round) {
+	for _, target := range b.Keepers(q, parts[len(parts)-2], interval) {
 		names = append(names, target.GetId())
 	}
 	return names
 }
 
-// Failure: entries that have heard different sidecars of other data centres keep a part at
-// different processes, and what one has told is not found by the other.
-func TestKeepersComeFromTheList(t *testing.T) {
+// Guards against entries that select different directories for a part, because they have had
+// heartbeats from different sidecars of other data centres: what one entry registers is not
+// found by the other.
+func TestDirectoriesAreDrawnFromTheTargetList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const engines = 40
@@ -45,16 +47,16 @@
 		}
 		for i := range 50 {
 			q := query(6000, fmt.Sprint("rules", i), "own")
-			g.Expect(keepers(first, q)).To(HaveLen(2))
-			g.Expect(keepers(first, q)).To(Equal(keepers(second, q)))
+			g.Expect(directories(first, q)).To(HaveLen(2))
+			g.Expect(directories(first, q)).To(Equal(directories(second, q)))
 		}
 	})
 }
 
-// Guards against entries that pass over live keepers, and look at different ones, where a
-// data centre has so many engines that each is heard seldom.
-func TestKeepersStayBetweenTwoGreetings(t *testing.T) {
-	const round = 9300 * time.Millisecond
+// Guards against entries that skip live directories, and so select different ones, where a
+// data centre has so many engines that heartbeats of each are rare.
+func TestDirectoriesStayBetweenHeartbeats(t *testing.T) {
+	const interval = 9300 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const engines = 40
@@ -63,43 +65,43 @@
 			b.Hear(state(fmt.Sprint("e", i), 1))
 		}
 		q := query(6000, "rules", "own")
-		before := keepersAfter(b, q, round)
-		// One word of each is lost.
-		time.Sleep(2 * round)
+		before := directoriesWithInterval(b, q, interval)
+		// One heartbeat of each sidecar is lost.
+		time.Sleep(2 * interval)
 		b.Hear(state("e0", 1))
-		g.Expect(keepersAfter(b, q, round)).To(Equal(before))
+		g.Expect(directoriesWithInterval(b, q, interval)).To(Equal(before))
 	})
 }
 
-// Failure: a dead sidecar keeps parts for as long as its engine is listed.
-func TestKeeperThatDoesNotAnswerIsPassedOver(t *testing.T) {
+// Guards against a dead sidecar that remains a directory for as long as its engine is listed.
+func TestUnresponsiveDirectoryIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(40)
 		b.Hear(state("e0", 1))
 		q := query(6000, "rules", "own")
-		before := keepers(b, q)
-		for round := range 5 {
+		before := directories(b, q)
+		for attempt := range 5 {
 			b.Silent(q, before[0])
-			g.Expect(keepers(b, q)).NotTo(ContainElement(before[0]))
-			time.Sleep(min(8*time.Second, 500*time.Millisecond<<round) - time.Millisecond)
+			g.Expect(directories(b, q)).NotTo(ContainElement(before[0]))
+			time.Sleep(min(8*time.Second, 500*time.Millisecond<<attempt) - time.Millisecond)
 			b.Hear(state("e0", 1))
-			g.Expect(keepers(b, q)).NotTo(ContainElement(before[0]), "longer with each silence")
+			g.Expect(directories(b, q)).NotTo(ContainElement(before[0]), "the backoff grows with each unanswered lookup")
 			time.Sleep(2 * time.Millisecond)
-			g.Expect(keepers(b, q)).To(ContainElement(before[0]))
+			g.Expect(directories(b, q)).To(ContainElement(before[0]))
 		}
 		b.Hear(state(before[0], 1))
-		g.Expect(keepers(b, q)).To(Equal(before))
+		g.Expect(directories(b, q)).To(Equal(before))
 	})
 }
 
-// Failure: a fleet without sidecars asks engines that keep nothing.
-func TestNoKeepersWithoutSidecars(t *testing.T) {
-	NewWithT(t).Expect(keepers(board(40), query(6000, "rules", "own"))).To(BeEmpty())
+// Guards against lookups at engines that have no sidecar, and so no directory.
+func TestNoDirectoriesWithoutSidecars(t *testing.T) {
+	NewWithT(t).Expect(directories(board(40), query(6000, "rules", "own"))).To(BeEmpty())
 }
 
-// Failure: in small fleets, whose entries follow all caches, questions about the first part
-// cost datagrams and tell nothing new.
+// Guards against lookups of the first part in small fleets. Entries follow all caches there,
+// so the lookups cost datagrams and return nothing new.
 func TestFirstPartIsLookedUpInLargeFleetsOnly(t *testing.T) {
 	g := NewWithT(t)
 	ask := &fleetv1.Ask{Model: "m", Prompt: 9000, Parts: []*fleetv1.Part{
@@ -112,5 +114,5 @@
 	choice := b.Choose(newQuery())
 	choice.Started(&fleetv1.Answer{})
 	choice.End(mtboard.Good{})
-	g.Expect(b.Lookups(newQuery())).To(Equal(ask.GetParts()[1:2]), "it knows who read it just now")
+	g.Expect(b.Lookups(newQuery())).To(Equal(ask.GetParts()[1:2]), "the entry knows which engine has just prefilled the part")
 }
--- a/internal/placement/mtboard/successor_test.go
+++ b/internal/placement/mtboard/successor_test.go
@@ -13,9 +13,9 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtboard"
 )
 
-// Failure: a request reaches a program of another service, or one that has taken the
-// address long after the sidecar there was heard.
-func TestOnlyASidecarVouchesForASuccessor(t *testing.T) {
+// Guards against a request that reaches a program of another service, or one that took over
+// the address long after the last heartbeat of the sidecar there.
+func TestSuccessorIsConfirmedByItsSidecarOnly(t *testing.T) {
 	for name, c := range map[string]struct {
 		listed, born int64
 		service      string
@@ -24,23 +24,23 @@
 	}{
 		"the listed program":        {listed: 5, born: 5, service: "pool", expected: "e0"},
 		"a successor":               {listed: 5, born: 6, service: "pool"},
-		"a while ago":               {listed: 5, born: 6, service: "pool", wait: 1100 * time.Millisecond, expected: "e0"},
+		"a second ago":              {listed: 5, born: 6, service: "pool", wait: 1100 * time.Millisecond, expected: "e0"},
 		"of another service":        {listed: 5, born: 6, service: "other", expected: "e0"},
-		"of a service not told":     {listed: 5, born: 6, expected: "e0"},
+		"of an unknown service":     {listed: 5, born: 6, expected: "e0"},
 		"listed without its start":  {born: 6, service: "pool", expected: "e0"},
 		"started before the listed": {listed: 7, born: 6, service: "pool", expected: "e0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := mtboard.New("north", allowed, mtlimiter.New("", mtlimit.New()))
+				b := mtboard.New("north", gracePeriod, mtlimiter.New("", mtlimit.New()))
 				b.List(map[string]*fleetv1.Target{"e0": {
 					Id: "e0", Service: "pool", Address: "10.0.0.1:80", Datacentre: "north", Slots: 8, Born: c.listed,
 					Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 				}}, func(*fleetv1.Target) bool { return false })
 				b.Name(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
-				said := state("e0", 1)
-				said.Report.Born, said.Service = c.born, c.service
-				b.Hear(said)
+				heartbeat := state("e0", 1)
+				heartbeat.Report.Born, heartbeat.Service = c.born, c.service
+				b.Hear(heartbeat)
 				time.Sleep(c.wait)
 				NewWithT(t).Expect(b.Choose(query(100, "rules", "own")).Expected()).To(Equal(c.expected))
 			})
@@ -48,8 +48,9 @@
 	}
 }
 
-// Failure: a target that was found to be another program is left out for as long as it is
-// listed, though its sidecar says that it is the same service's.
+// Guards against a target that is left out for as long as it is listed, because another
+// program answered at its address, although its sidecar reports that this program is of the
+// same service.
 func TestSuccessorIsUsedAgain(t *testing.T) {
 	g := NewWithT(t)
 	b := board(1)
@@ -61,8 +62,8 @@
 		Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 	}}, func(*fleetv1.Target) bool { return false })
 	g.Expect(b.Choose(query(100, "rules", "own"))).To(BeNil())
-	said := state("e0", 1)
-	said.Report.Born, said.Service = 2, "pool"
-	b.Hear(said)
+	heartbeat := state("e0", 1)
+	heartbeat.Report.Born, heartbeat.Service = 2, "pool"
+	b.Hear(heartbeat)
 	g.Expect(b.Choose(query(100, "rules", "own")).Expected()).To(BeEmpty())
 }
--- a/internal/placement/mtboard/why_test.go
+++ b/internal/placement/mtboard/why_test.go
@@ -9,18 +9,18 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtboard"
 )
 
-// An engineer asks why a request waited at one engine while others were there:
-// the choice names the next best, each with its estimate and what spoke against
-// it the most, and counts those that were not considered.
-func TestChoiceSaysWhyOthersLost(t *testing.T) {
+// Guards against a choice that does not explain why a request waited at one engine while
+// others were available. It names the next best candidates, each with its estimate and the
+// largest additional cost, and counts the targets that were not considered.
+func TestChoiceExplainsRejectedCandidates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(6)
-		for target, change := range map[string]func(queue *int64, ordering, answers *bool){
+		for target, change := range map[string]func(pending *int64, ordering, answers *bool){
 			"e0": func(*int64, *bool, *bool) {},
 			"e1": func(*int64, *bool, *bool) {},
-			"e2": func(queue *int64, _, _ *bool) { *queue = 20_000 },
-			"e3": func(queue *int64, _, _ *bool) { *queue = 30_000 },
+			"e2": func(pending *int64, _, _ *bool) { *pending = 20_000 },
+			"e3": func(pending *int64, _, _ *bool) { *pending = 30_000 },
 			"e4": func(_ *int64, ordering, _ *bool) { *ordering = true },
 			"e5": func(_ *int64, _, answers *bool) { *answers = false },
 		} {
@@ -36,11 +36,11 @@
 		g.Expect(choice.Unfit()).To(Equal("1 silent, 1 loading weights"))
 		choice.End(mtboard.Left{})
 
-		tried := query(640, "a", "b")
+		exhausted := query(640, "a", "b")
 		for _, target := range []string{"e0", "e1", "e2", "e3"} {
-			tried.Exclude(target)
+			exhausted.Exclude(target)
 		}
-		g.Expect(b.Choose(tried)).To(BeNil())
-		g.Expect(b.Lacks(tried)).To(Equal("6 known: 4 tried, 1 silent, 1 loading weights"))
+		g.Expect(b.Choose(exhausted)).To(BeNil())
+		g.Expect(b.Lacks(exhausted)).To(Equal("6 known: 4 tried, 1 silent, 1 loading weights"))
 	})
 }
--- a/internal/placement/mtboard/without_test.go
+++ b/internal/placement/mtboard/without_test.go
@@ -6,9 +6,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Without the store nothing is saved or fetched there; a name that is none is refused
-// with those that there are.
-func TestWithoutAMechanism(t *testing.T) {
+// Guards against a disabled mechanism that is still used: without the store nothing is saved
+// or fetched there. An unknown name is rejected with the list of known ones.
+func TestDisabledMechanismsAreNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	b := board(12)
 	err := b.Without("copy")
