--- a/internal/placement/mttarget/target.go
+++ b/internal/placement/mttarget/target.go
@@ -1,4 +1,4 @@
-// Package mttarget is what an entry knows of one target.
+// Package mttarget holds the state that an entry keeps for one target.
 package mttarget
 
 import (
@@ -7,94 +7,99 @@
 	"time"
 )
 
-// muteFor is how long a target that did not answer an offer gets no other:
-// each would cost its caller the offer's timeout. A busy moment, such as a
-// collection of garbage, is over by then.
-const muteFor = 2 * time.Second
+// unresponsiveBackoff is how long a target that did not answer an offer gets no
+// further offers, as each would cost its caller the offer's timeout. A short stall,
+// such as a garbage collection, is over by then.
+const unresponsiveBackoff = 2 * time.Second
 
-// Target joins a target's own last word with what this entry has sent since.
-// Requests read and write it without a lock.
+// Target combines a target's last report with the work that this entry has sent
+// since. Requests read and write it without a lock.
 type Target struct {
 	name       string
 	datacentre string
 	id         uint32
 	distance   time.Duration
 
-	seen    atomic.Int64
-	wait    atomic.Int64
-	sent    atomic.Int64
-	prefill atomic.Uint64
-	leaving atomic.Bool
+	// reportedAt is the time of the last report in Unix nanoseconds; reportedWait
+	// is its wait and sentCost the computing time sent since, in nanoseconds.
+	reportedAt   atomic.Int64
+	reportedWait atomic.Int64
+	sentCost     atomic.Int64
+	// prefillRate holds the bits of a float64.
+	prefillRate atomic.Uint64
+	leaving     atomic.Bool
 
-	muted atomic.Int64
+	// backoffUntil is the time in Unix nanoseconds until which no offers are sent.
+	backoffUntil atomic.Int64
 
 	incarnation atomic.Pointer[string]
 }
 
-// New returns a target of which nothing is known. id is not 0 and differs
-// between the targets of an entry; distance is the round trip to it.
+// New returns a target that has not reported yet. id is not 0 and is unique
+// among the targets of an entry; distance is the round-trip time to the target.
 func New(name, datacentre string, id uint32, distance time.Duration) *Target {
 	return &Target{name: name, datacentre: datacentre, id: id, distance: distance}
 }
 
-// Name is the target's name.
+// Name returns the target's name.
 func (t *Target) Name() string { return t.name }
 
-// Datacentre is where the target stands.
+// Datacentre returns the data centre that the target runs in.
 func (t *Target) Datacentre() string { return t.datacentre }
 
-// ID is the target's number at this entry.
+// ID returns the number that this entry has given to the target.
 func (t *Target) ID() uint32 { return t.id }
 
-// Distance is the round trip to the target.
+// Distance returns the round-trip time to the target.
 func (t *Target) Distance() time.Duration { return t.distance }
 
-// Mute notes that the target did not answer an offer.
-func (t *Target) Mute() { t.muted.Store(time.Now().Add(muteFor).UnixNano()) }
+// Mute records that the target did not answer an offer, and suspends offers to it.
+func (t *Target) Mute() { t.backoffUntil.Store(time.Now().Add(unresponsiveBackoff).UnixNano()) }
 
-// Usable says that the target may be offered work: it did not say that it
-// leaves and answered the last offer.
+// Usable reports whether the target may be offered work: it has not announced
+// that it is leaving, and no offer to it went unanswered recently.
 func (t *Target) Usable() bool {
-	return !t.leaving.Load() && time.Now().UnixNano() >= t.muted.Load()
+	return !t.leaving.Load() && time.Now().UnixNano() >= t.backoffUntil.Load()
 }
 
-// Prefill is the target's prefill rate in tokens a second; 0 if unknown.
-func (t *Target) Prefill() float64 { return math.Float64frombits(t.prefill.Load()) }
+// Prefill returns the target's prefill rate in tokens per second; 0 if unknown.
+func (t *Target) Prefill() float64 { return math.Float64frombits(t.prefillRate.Load()) }
 
-// Say takes in the target's own word: expected wait, prefill rate in tokens a
-// second (0: not measured) and whether it leaves.
-func (t *Target) Say(wait time.Duration, prefill float64, leaving bool) {
-	t.wait.Store(int64(wait))
-	t.sent.Store(0)
-	t.seen.Store(time.Now().UnixNano())
+// Say applies a report of the target: its expected wait, its prefill rate in
+// tokens per second (0 if not measured) and whether it is leaving.
+func (t *Target) Say(wait time.Duration, prefillRate float64, leaving bool) {
+	t.reportedWait.Store(int64(wait))
+	t.sentCost.Store(0)
+	t.reportedAt.Store(time.Now().UnixNano())
 	t.leaving.Store(leaving)
-	if prefill > 0 {
-		t.prefill.Store(math.Float64bits(prefill))
+	if prefillRate > 0 {
+		t.prefillRate.Store(math.Float64bits(prefillRate))
 	}
 }
 
-// Send counts the computing time of a request sent to the target since its
-// last word; without it a burst that arrives between two words goes to one
-// target.
-func (t *Target) Send(cost time.Duration) { t.sent.Add(int64(cost)) }
+// Send adds the computing time of a request sent to the target. Without it, a
+// burst that arrives between two reports would go to a single target.
+func (t *Target) Send(cost time.Duration) { t.sentCost.Add(int64(cost)) }
 
-// Wait is the expected wait now: the last word and what was sent since, less
-// what the target has worked off in the meantime.
+// Wait returns the expected wait now: the reported wait plus the computing time
+// sent since, less the time elapsed since the report.
 func (t *Target) Wait() time.Duration {
-	worked := time.Now().UnixNano() - t.seen.Load()
-	return time.Duration(max(0, t.wait.Load()+t.sent.Load()-worked))
+	elapsed := time.Now().UnixNano() - t.reportedAt.Load()
+	return time.Duration(max(0, t.reportedWait.Load()+t.sentCost.Load()-elapsed))
 }
 
-// Age is the time since the target's last word.
-func (t *Target) Age() time.Duration { return time.Duration(time.Now().UnixNano() - t.seen.Load()) }
+// Age returns the time since the target's last report.
+func (t *Target) Age() time.Duration {
+	return time.Duration(time.Now().UnixNano() - t.reportedAt.Load())
+}
 
-// Restarted takes in the target's incarnation and reports whether its program
-// started anew since the last word.
+// Restarted records the target's incarnation and reports whether its process
+// has restarted since the last report.
 func (t *Target) Restarted(incarnation string) bool {
-	before := t.incarnation.Load()
-	if incarnation == "" || before != nil && *before == incarnation {
+	previous := t.incarnation.Load()
+	if incarnation == "" || previous != nil && *previous == incarnation {
 		return false
 	}
 	t.incarnation.Store(&incarnation)
-	return before != nil
+	return previous != nil
 }
