--- a/internal/placement/mtchoice/choice.go
+++ b/internal/placement/mtchoice/choice.go
@@ -1,5 +1,5 @@
-// Package mtchoice is one request's targets on their way from candidates to
-// an order.
+// Package mtchoice holds the candidate targets of one request and sorts them
+// into the order in which they are tried.
 package mtchoice
 
 import (
@@ -12,12 +12,13 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// kind says why a target is a candidate.
+// kind is the reason why a target is a candidate.
 type kind int
 
-// Kinds of candidates. A reserve is the next home of a prefix: it is used when
-// the others make the caller wait longer than computing anew. A neighbour is a
-// home of a shorter or longer prefix: it gets the request only if it holds it.
+// Kinds of candidates. A reserve is the next home of a prefix. It is used when
+// waiting for the other homes takes longer than computing the prefix again. A
+// neighbour is a home of a shorter or longer prefix. It gets the request only if
+// it has the prompt cached.
 const (
 	home kind = iota
 	remembered
@@ -25,7 +26,7 @@
 	neighbour
 )
 
-// candidate is one target.
+// candidate is one target and what is known of it for this request.
 type candidate struct {
 	target  *mttarget.Target
 	kind    kind
@@ -37,135 +38,142 @@
 
 // Choice holds the candidates of one request. It belongs to one goroutine.
 type Choice struct {
-	chain  mtchain.Chain
-	prompt uint64
-	depth  int
-	least  int
-	fresh  bool
-	list   []candidate
+	chain          mtchain.Chain
+	promptTokens   uint64
+	depth          int
+	minHolderMarks int
+	skipOffers     bool
+	candidates     []candidate
 }
 
-// New returns a choice without candidates; prompt is in tokens, depth the
-// number of marks that name the homes.
-func New(chain mtchain.Chain, prompt uint64, depth int) *Choice {
-	return &Choice{chain: chain, prompt: prompt, depth: depth, list: make([]candidate, 0, 8)}
+// New returns a choice without candidates. depth is the number of marks in the
+// prefix that determines the homes.
+func New(chain mtchain.Chain, promptTokens uint64, depth int) *Choice {
+	return &Choice{chain: chain, promptTokens: promptTokens, depth: depth, candidates: make([]candidate, 0, 8)}
 }
 
-// Chain is the prompt's prefix chain.
+// Chain returns the prompt's prefix chain.
 func (c *Choice) Chain() mtchain.Chain { return c.chain }
 
-// Prompt is the prompt's length in tokens.
-func (c *Choice) Prompt() uint64 { return c.prompt }
+// Prompt returns the prompt's length in tokens.
+func (c *Choice) Prompt() uint64 { return c.promptTokens }
 
-// Depth is the number of marks that name the prompt's homes; 0 for none.
+// Depth returns the number of marks in the prefix that determines the prompt's
+// homes; 0 if it has none.
 func (c *Choice) Depth() int { return c.depth }
 
-// Least is the number of marks that make a target a holder of the prompt.
-func (c *Choice) Least() int { return c.least }
+// Least returns the number of marks that a target must have cached to count as
+// a holder of the prompt.
+func (c *Choice) Least() int { return c.minHolderMarks }
 
-// SetLeast sets the number of marks that make a target a holder.
-func (c *Choice) SetLeast(marks int) { c.least = marks }
+// SetLeast sets the number of marks that a target must have cached to count as
+// a holder of the prompt.
+func (c *Choice) SetLeast(marks int) { c.minHolderMarks = marks }
 
-// Fresh says that what the entry knows is new enough to run without offers.
-func (c *Choice) Fresh() bool { return c.fresh }
+// Fresh reports whether the entry's knowledge is recent enough to send the
+// request without offers.
+func (c *Choice) Fresh() bool { return c.skipOffers }
 
-// SetFresh marks the choice as fresh or not.
-func (c *Choice) SetFresh(fresh bool) { c.fresh = fresh }
+// SetFresh sets whether the request is sent without offers.
+func (c *Choice) SetFresh(skip bool) { c.skipOffers = skip }
 
 // AddHome adds a home of the prompt.
 func (c *Choice) AddHome(t *mttarget.Target) { c.add(t, home, 0) }
 
-// AddReserve adds the home that comes next when the prompt's prefix widens.
+// AddReserve adds the home that is used next if the prefix gets one more home.
 func (c *Choice) AddReserve(t *mttarget.Target) { c.add(t, reserve, 0) }
 
 // AddNeighbour adds a home of a shorter or longer prefix.
 func (c *Choice) AddNeighbour(t *mttarget.Target) { c.add(t, neighbour, 0) }
 
-// AddRemembered adds a target that was seen with so many tokens of the prompt.
+// AddRemembered adds a target that recently had the given number of the prompt's
+// tokens cached.
 func (c *Choice) AddRemembered(t *mttarget.Target, matched uint64) { c.add(t, remembered, matched) }
 
-// add keeps a target once; a sighting goes before a home.
+// add adds a target unless it is a candidate already. A target that is added
+// again keeps its kind and the larger number of matched tokens.
 func (c *Choice) add(t *mttarget.Target, kind kind, matched uint64) {
-	for i := range c.list {
-		if c.list[i].target == t {
-			c.list[i].matched = max(c.list[i].matched, matched)
+	for i := range c.candidates {
+		if c.candidates[i].target == t {
+			c.candidates[i].matched = max(c.candidates[i].matched, matched)
 			return
 		}
 	}
-	c.list = append(c.list, candidate{target: t, kind: kind, matched: matched, wait: t.Wait()})
+	c.candidates = append(c.candidates, candidate{target: t, kind: kind, matched: matched, wait: t.Wait()})
 }
 
-// Len is the number of candidates.
-func (c *Choice) Len() int { return len(c.list) }
+// Len returns the number of candidates.
+func (c *Choice) Len() int { return len(c.candidates) }
 
-// Target is the i-th candidate.
-func (c *Choice) Target(i int) *mttarget.Target { return c.list[i].target }
+// Target returns the i-th candidate.
+func (c *Choice) Target(i int) *mttarget.Target { return c.candidates[i].target }
 
-// Find returns the number of a target, or -1.
+// Find returns the index of the target with the given name, or -1.
 func (c *Choice) Find(name string) int {
-	return slices.IndexFunc(c.list, func(known candidate) bool { return known.target.Name() == name })
+	return slices.IndexFunc(c.candidates, func(known candidate) bool { return known.target.Name() == name })
 }
 
-// Matched is the tokens of the prompt that the i-th candidate has cached, as
-// far as is known.
-func (c *Choice) Matched(i int) uint64 { return c.list[i].matched }
+// Matched returns how many of the prompt's tokens the i-th candidate is known to
+// have cached.
+func (c *Choice) Matched(i int) uint64 { return c.candidates[i].matched }
 
-// Wait is the expected wait at the i-th candidate.
-func (c *Choice) Wait(i int) time.Duration { return c.list[i].wait }
+// Wait returns the expected wait at the i-th candidate.
+func (c *Choice) Wait(i int) time.Duration { return c.candidates[i].wait }
 
-// Reserve says whether the i-th candidate is a reserve.
-func (c *Choice) Reserve(i int) bool { return c.list[i].kind == reserve }
+// Reserve reports whether the i-th candidate is a reserve.
+func (c *Choice) Reserve(i int) bool { return c.candidates[i].kind == reserve }
 
-// Neighbour says whether the i-th candidate is a neighbour.
-func (c *Choice) Neighbour(i int) bool { return c.list[i].kind == neighbour }
+// Neighbour reports whether the i-th candidate is a neighbour.
+func (c *Choice) Neighbour(i int) bool { return c.candidates[i].kind == neighbour }
 
-// Refused says whether the i-th candidate refused or did not answer.
-func (c *Choice) Refused(i int) bool { return c.list[i].refused }
+// Refused reports whether the i-th candidate refused its offer or did not answer.
+func (c *Choice) Refused(i int) bool { return c.candidates[i].refused }
 
-// Offered takes in the i-th candidate's own word: tokens cached and wait.
+// Offered applies the i-th candidate's answer to an offer: the tokens that it has
+// cached and its expected wait.
 func (c *Choice) Offered(i int, matched uint64, wait time.Duration) {
-	c.list[i].matched = matched
-	c.list[i].wait = wait
+	c.candidates[i].matched = matched
+	c.candidates[i].wait = wait
 }
 
-// Refuse marks the i-th candidate as one that refused or did not answer: it
-// is tried last.
-func (c *Choice) Refuse(i int) { c.list[i].refused = true }
+// Refuse marks the i-th candidate as one that refused its offer or did not answer.
+// Such candidates are tried last.
+func (c *Choice) Refuse(i int) { c.candidates[i].refused = true }
 
 // Price sets the i-th candidate's score.
-func (c *Choice) Price(i int, score mtscore.Score) { c.list[i].score = score }
+func (c *Choice) Price(i int, score mtscore.Score) { c.candidates[i].score = score }
 
-// Score is the i-th candidate's price.
-func (c *Choice) Score(i int) mtscore.Score { return c.list[i].score }
+// Score returns the i-th candidate's score.
+func (c *Choice) Score(i int) mtscore.Score { return c.candidates[i].score }
 
-// Sort orders the candidates: first those that first names, each part by
-// score; those that refused come last.
-func (c *Choice) Sort(first func(i int) bool) {
-	ranks := make([]int, len(c.list))
-	for i := range c.list {
+// Sort puts the candidates that are preferred first, then the others, and those
+// that refused last. Each group is sorted by score.
+func (c *Choice) Sort(preferred func(i int) bool) {
+	ranks := make([]int, len(c.candidates))
+	for i := range c.candidates {
 		switch {
-		case c.list[i].refused:
+		case c.candidates[i].refused:
 			ranks[i] = 2
-		case !first(i):
+		case !preferred(i):
 			ranks[i] = 1
 		}
 	}
-	order := make([]int, len(c.list))
+	order := make([]int, len(c.candidates))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		if r := ranks[a] - ranks[b]; r != 0 {
-			return r
+		if difference := ranks[a] - ranks[b]; difference != 0 {
+			return difference
 		}
-		return cmp.Compare(c.list[a].score, c.list[b].score)
+		return cmp.Compare(c.candidates[a].score, c.candidates[b].score)
 	})
 	sorted := make([]candidate, len(order))
 	for i, from := range order {
-		sorted[i] = c.list[from]
+		sorted[i] = c.candidates[from]
 	}
-	c.list = sorted
+	c.candidates = sorted
 }
 
 // Cut keeps the first n candidates.
-func (c *Choice) Cut(n int) { c.list = c.list[:min(n, len(c.list))] }
+func (c *Choice) Cut(n int) { c.candidates = c.candidates[:min(n, len(c.candidates))] }
