--- a/internal/placement/mtscore/score.go
+++ b/internal/placement/mtscore/score.go
@@ -1,39 +1,40 @@
-// Package mtscore is the price of sending a request to a target.
+// Package mtscore estimates the cost of sending a request to a target.
 //
-// Without one price for waiting and computing, a router either follows the
-// cache into a queue or flees a short queue and computes a dossier anew. Both
-// are seconds to the caller, so that they add up.
+// Waiting and computing share one scale. A router that weighs them separately
+// either follows the cache into a long queue or avoids a short queue and
+// computes a long shared prefix again. Both delay the caller, so their times are
+// added up.
 package mtscore
 
 import "time"
 
-// Score is the expected time to the first token plus the harm to others, in
-// nanoseconds; the lowest is best.
+// Score is the expected time to the first token plus the delay caused to other
+// requests, in nanoseconds. The lowest score is best.
 type Score time.Duration
 
-// evictionWeight counts computing more than once: the tokens computed hold up
-// the prompts behind them and evict what others will ask for. Waiting harms
-// the caller alone. The figure is a choice between 1, the caller's own time,
-// and 2, another's as well; no bound holds it yet.
-const evictionWeight = 1.5
+// computeWeight is the factor for computing time. Computed tokens also delay the
+// prompts queued behind them and evict blocks that other requests need, while
+// waiting delays only the caller. 1 would count only the caller's time, 2 another
+// caller's as well; no acceptance bound constrains the value yet.
+const computeWeight = 1.5
 
-// defaultRate is the prefill rate, tokens a second, taken for a target of which
-// nothing is known: the example settings' rate.
-const defaultRate = 20000
+// defaultPrefillRate is the prefill rate in tokens per second that is assumed for a
+// target whose rate is unknown. It is the rate in the example settings.
+const defaultPrefillRate = 20000
 
-// Of prices a request: expected wait in the target's queue, tokens of the
-// prompt that the target has not cached, its prefill rate in tokens a second
-// (0: unknown), the round trip to it, and the factor by which the target runs
-// behind its fleet.
-func Of(wait time.Duration, uncached uint64, rate float64, distance time.Duration, slowness float64) Score {
-	compute := float64(Compute(uncached, rate)) * evictionWeight
-	return Score((float64(wait)+compute)*slowness) + Score(distance)
+// Of returns the score of a request from the expected wait in the target's queue,
+// the number of prompt tokens that the target has not cached, its prefill rate in
+// tokens per second (0 if unknown), the round-trip time, and the factor by which
+// the target is slower than its fleet.
+func Of(wait time.Duration, uncached uint64, prefillRate float64, roundTrip time.Duration, slowness float64) Score {
+	compute := float64(Compute(uncached, prefillRate)) * computeWeight
+	return Score((float64(wait)+compute)*slowness) + Score(roundTrip)
 }
 
-// Compute is the time to compute tokens at a rate.
-func Compute(tokens uint64, rate float64) time.Duration {
-	if rate <= 0 {
-		rate = defaultRate
+// Compute returns the time that it takes to compute tokens at a prefill rate.
+func Compute(tokens uint64, prefillRate float64) time.Duration {
+	if prefillRate <= 0 {
+		prefillRate = defaultPrefillRate
 	}
-	return time.Duration(float64(tokens) / rate * float64(time.Second))
+	return time.Duration(float64(tokens) / prefillRate * float64(time.Second))
 }
