--- a/internal/placement/mtledger/ledger_test.go
+++ b/internal/placement/mtledger/ledger_test.go
@@ -11,9 +11,9 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtledger"
 )
 
-const allowed = 8 * time.Second
+const gracePeriod = 8 * time.Second
 
-func named(ages ...time.Duration) []*fleetv1.Weights {
+func published(ages ...time.Duration) []*fleetv1.Weights {
 	weights := &fleetv1.Weights{Model: "m", Version: int64(len(ages))}
 	for i, age := range ages {
 		weights.Ages = append(weights.Ages, &fleetv1.Age{Version: int64(i + 1), Age: durationpb.New(age)})
@@ -21,32 +21,34 @@
 	return []*fleetv1.Weights{weights}
 }
 
-// Failure: an age is written at every look, or goes on to be written for ever.
-func TestAgeIsWrittenInSteps(t *testing.T) {
+// Guards against an age that is written at every check, or is still written after the grace
+// period.
+func TestAgeIsWrittenAtIntervals(t *testing.T) {
 	g := NewWithT(t)
-	ledger := mtledger.New(allowed)
+	ledger := mtledger.New(gracePeriod)
 	writes := 0
 	for age := time.Duration(0); age < time.Minute; age += 100 * time.Millisecond {
-		if now := named(age); ledger.Due(now) {
+		if weights := published(age); ledger.Due(weights) {
 			writes++
-			ledger.Stored(&fleetv1.Namings{Weights: now}, int64(writes))
+			ledger.Stored(&fleetv1.Namings{Weights: weights}, int64(writes))
 		}
 	}
 	g.Expect(writes).To(Equal(4))
 	g.Expect(ledger.Revision()).To(Equal(int64(4)))
 }
 
-// Failure: weights that are named right after others leave the age of the others unwritten.
-func TestEachVersionIsWritten(t *testing.T) {
+// Guards against an age that is never written because newer weights were published shortly
+// after.
+func TestAgeOfEachVersionIsWritten(t *testing.T) {
 	g := NewWithT(t)
-	ledger := mtledger.New(allowed)
-	ledger.Stored(&fleetv1.Namings{Weights: named(allowed)}, 1)
-	g.Expect(ledger.Due(named(time.Minute, time.Second))).To(BeFalse())
-	g.Expect(ledger.Due(named(time.Minute, 3*time.Second))).To(BeTrue())
+	ledger := mtledger.New(gracePeriod)
+	ledger.Stored(&fleetv1.Namings{Weights: published(gracePeriod)}, 1)
+	g.Expect(ledger.Due(published(time.Minute, time.Second))).To(BeFalse())
+	g.Expect(ledger.Due(published(time.Minute, 3*time.Second))).To(BeTrue())
 }
 
-// Failure: without a time allowed every look would be a write.
-func TestNothingIsWrittenWithoutABound(t *testing.T) {
+// Guards against a write at every check where no grace period is set.
+func TestNothingIsWrittenWithoutAGracePeriod(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(mtledger.New(0).Due(named(time.Minute))).To(BeFalse())
+	g.Expect(mtledger.New(0).Due(published(time.Minute))).To(BeFalse())
 }
