--- a/internal/placement/mthomes/homes.go
+++ b/internal/placement/mthomes/homes.go
@@ -1,13 +1,15 @@
 // Package mthomes assigns every prefix a stable order of home targets.
 //
-// It answers a herd of restarting entries: their memory is empty, and without
-// homes each would compute a dossier anew on another target. All entries that
-// know the same targets find the same homes, with no word between them.
+// Homes cover the restart of many entries at once. Their memory is empty then,
+// and without homes each would send a long shared prefix to a different target,
+// which would compute it again. All entries that know the same targets find the
+// same homes without communicating.
 //
-// A rendezvous hash over all targets costs 2,700 hashes a request at the size
-// the project builds towards. Instead a lookup table is filled once for each
-// change of the membership (the method of Maglev, Eisenbud et al., NSDI 2016)
-// and a request costs one hash per home, however many targets there are.
+// A rendezvous hash over all targets would cost 2,700 hashes per request at the
+// fleet size that the project is designed for. Instead, a lookup table is filled
+// at each change of the membership (the method of Maglev, Eisenbud et al., NSDI
+// 2016), and a request costs one table lookup per home, regardless of the number
+// of targets.
 package mthomes
 
 import (
@@ -18,29 +20,29 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// slots is the size of the table, a prime, the same for every fleet: a size
-// that grew with the fleet would move every prefix when it changed. It gives
-// 2,700 targets 24 slots each, which keeps the largest share within 5 % of the
-// mean, and costs 256 KB for a service.
-const slots = 65537
+// tableSize is the number of slots in the table. It is a prime, and the same for every
+// fleet: if it grew with the fleet, each change of the size would move every prefix.
+// 2,700 targets get 24 slots each, which keeps the largest share within 5 % of the
+// mean. The table takes 256 KB per service.
+const tableSize = 65537
 
-// tries bounds the search for a home that differs from those found before.
-const tries = 16
+// maxExtraProbes bounds the additional lookups made to find distinct homes.
+const maxExtraProbes = 16
 
-// Homes is the table for one set of targets. It is immutable.
+// Homes is the lookup table for one set of targets. It is immutable.
 type Homes struct {
-	table []int32
-	count int
+	table   []int32
+	targets int
 }
 
-// New fills the table for the targets of the given names. Home i stands for
-// names[i]; the order of names must not differ between entries.
+// New returns the homes for the targets with the given names. Home i is the
+// target names[i]; all entries must pass the names in the same order.
 func New(names []string) *Homes {
-	h := &Homes{count: len(names)}
+	h := &Homes{targets: len(names)}
 	if len(names) == 0 {
 		return h
 	}
-	h.table = make([]int32, slots)
+	h.table = make([]int32, tableSize)
 	for i := range h.table {
 		h.table[i] = -1
 	}
@@ -48,45 +50,46 @@
 	return h
 }
 
-// fill lets the targets take turns; each takes the next free slot of its own
-// permutation, so that a target's coming or going moves few other slots.
+// fill assigns the slots to the targets in turns. Each target takes the next free
+// slot of its own permutation, so that few slots of other targets change when a
+// target joins or leaves.
 func (h *Homes) fill(names []string) {
 	next := make([]uint64, len(names))
 	step := make([]uint64, len(names))
 	for i, name := range names {
 		sum := xxh3.HashString128(name)
-		next[i] = sum.Lo % slots
-		step[i] = sum.Hi%(slots-1) + 1
+		next[i] = sum.Lo % tableSize
+		step[i] = sum.Hi%(tableSize-1) + 1
 	}
 	for filled := 0; ; {
 		for i := range names {
 			for h.table[next[i]] >= 0 {
-				next[i] = (next[i] + step[i]) % slots
+				next[i] = (next[i] + step[i]) % tableSize
 			}
 			h.table[next[i]] = int32(i)
 			filled++
-			if filled == slots {
+			if filled == tableSize {
 				return
 			}
 		}
 	}
 }
 
-// Append appends the first n homes of a mark, all different, to list. It gives
-// fewer where there are fewer targets.
+// Append appends the first n homes of a mark, all different, to list. It appends
+// fewer if there are fewer targets or its lookups run out.
 func (h *Homes) Append(list []int32, mark [mtchain.MarkSize]byte, n int) []int32 {
-	n = min(n, h.count)
+	n = min(n, h.targets)
 	start := len(list)
 	slot := binary.LittleEndian.Uint64(mark[:8])
-	step := binary.LittleEndian.Uint64(mark[8:])%(slots-1) + 1
-	for try := 0; len(list)-start < n && try < n+tries; try++ {
-		list = appendNew(list, start, h.table[slot%slots])
-		slot = slot%slots + step
+	step := binary.LittleEndian.Uint64(mark[8:])%(tableSize-1) + 1
+	for probe := 0; len(list)-start < n && probe < n+maxExtraProbes; probe++ {
+		list = appendUnique(list, start, h.table[slot%tableSize])
+		slot = slot%tableSize + step
 	}
 	return list
 }
 
-func appendNew(list []int32, start int, home int32) []int32 {
+func appendUnique(list []int32, start int, home int32) []int32 {
 	for _, known := range list[start:] {
 		if known == home {
 			return list
@@ -95,5 +98,5 @@
 	return append(list, home)
 }
 
-// Bytes is the size of the table.
+// Bytes returns the size of the table in bytes.
 func (h *Homes) Bytes() int { return 4 * len(h.table) }
--- a/internal/placement/mthomes/homes_test.go
+++ b/internal/placement/mthomes/homes_test.go
@@ -25,26 +25,27 @@
 	return mtchain.Next(mtchain.Root("salt"), granule[:])
 }
 
-// An engine leaves. Dossiers that had their home elsewhere must keep it, or
-// the fleet computes everything anew each time one engine restarts.
-func TestOneTargetLessMovesFewHomes(t *testing.T) {
+// Guards against prefixes that change their home although it is still there when
+// another engine leaves: the fleet would compute everything again at each restart
+// of an engine.
+func TestRemovedTargetMovesFewHomes(t *testing.T) {
 	g := NewWithT(t)
 	const targets, marks = 20, 10000
 	all := names(targets)
 	before, after := mthomes.New(all), mthomes.New(all[:targets-1])
 	moved := 0
 	for i := range marks {
-		was, is := before.Append(nil, mark(i), 1)[0], after.Append(nil, mark(i), 1)[0]
-		if int(was) != targets-1 && was != is {
+		homeBefore, homeAfter := before.Append(nil, mark(i), 1)[0], after.Append(nil, mark(i), 1)[0]
+		if int(homeBefore) != targets-1 && homeBefore != homeAfter {
 			moved++
 		}
 	}
 	g.Expect(moved).To(BeNumerically("<", marks/20))
 }
 
-// At the size in view some targets must not be home to many more prefixes than
-// others.
-func TestHomesAreEvenAndDiffer(t *testing.T) {
+// Guards against targets that are home to many more prefixes than others at the
+// fleet size that the project is designed for.
+func TestHomesAreEvenlySpreadAndDistinct(t *testing.T) {
 	g := NewWithT(t)
 	const targets, marks = 2700, 270000
 	homes := mthomes.New(names(targets))
