--- a/internal/placement/mtwiden/widen.go
+++ b/internal/placement/mtwiden/widen.go
@@ -1,15 +1,15 @@
-// Package mtwiden decides on how many targets a hot prefix may live.
+// Package mtwiden decides how many homes a hot prefix has.
 //
-// It answers the hot key: one dossier that more callers ask for than a target
-// can serve. With one home its callers queue while other targets idle. With no
-// bound a burst scatters the dossier over the fleet, each target computes it
-// and evicts what others need.
+// A hot prefix is one that more callers ask for than a single target can serve.
+// With one home its callers queue while other targets are idle. Without a limit, a
+// burst spreads the prefix over the whole fleet, where each target computes it and
+// evicts blocks that other requests need.
 //
-// The set of homes widens by one when the wait at all of them exceeds the cost
-// of computing the prefix elsewhere, and at most once in that cost: until the
-// new home has computed it, the next request can't know whether one more is
-// needed. It narrows by one after the waits stayed below a quarter for a
-// while, so that a prefix near the limit does not swing.
+// A prefix gets one more home when the wait at all its homes exceeds the cost of
+// computing it elsewhere, and at most one more within that time: until the new
+// home has computed the prefix, it is unknown whether another one is needed. It
+// loses a home after the waits have stayed at or below a quarter of the cost for a
+// while, so that the number of homes does not oscillate near the limit.
 package mtwiden
 
 import (
@@ -20,103 +20,107 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// Bounds. Every prefix that is not kept has one home, so that only hot ones
-// take memory; the coldest is given up first.
+// A prefix that is not tracked has one home, so that only hot prefixes take
+// memory. Those that have not made a request wait recently are evicted first.
 const (
-	maxKept = 4096
-	// Most bounds the homes of one prefix.
+	maxTracked = 4096
+	// Most is the maximum number of homes of a prefix.
 	Most = 16
-	// leastPause keeps short prefixes, computed in no time, from widening on
-	// each request of a burst.
-	leastPause = 50 * time.Millisecond
-	// narrowAfter is some ten times the life of a cached block, so that a
-	// lull between two bursts does not cost a second computation.
+	// minWidenInterval keeps short prefixes, which take almost no time to compute,
+	// from widening at each request of a burst.
+	minWidenInterval = 50 * time.Millisecond
+	// narrowAfter is about ten times the lifetime of a cached block, so that the
+	// prefix is not computed a second time after a lull between two bursts.
 	narrowAfter = 20 * time.Second
-	// narrowShare of the computing cost is what waits must stay below.
-	narrowShare = 0.25
+	// narrowThreshold is the share of the computing cost that waits must not exceed for
+	// the number of homes to shrink.
+	narrowThreshold = 0.25
 )
 
-// hot is a prefix with more than one home.
-type hot struct {
-	width   int
-	changed time.Time
-	waited  time.Time
+// hotPrefix is the state of a prefix that has more than one home.
+type hotPrefix struct {
+	// width is the number of homes; widthChanged is when it last changed.
+	width        int
+	widthChanged time.Time
+	// lastWait is when the wait last exceeded the threshold for narrowing.
+	lastWait time.Time
 }
 
-// Widen holds the hot prefixes' number of homes. It is safe for concurrent
+// Widen tracks the number of homes of each hot prefix. It is safe for concurrent
 // use.
 type Widen struct {
-	mu   sync.Mutex
-	kept map[uint64]*hot
+	mu      sync.Mutex
+	tracked map[uint64]*hotPrefix
 }
 
-// New returns a state in which every prefix has one home.
-func New() *Widen { return &Widen{kept: map[uint64]*hot{}} }
+// New returns a state in which each prefix has one home.
+func New() *Widen { return &Widen{tracked: map[uint64]*hotPrefix{}} }
 
 func key(mark [mtchain.MarkSize]byte) uint64 { return binary.LittleEndian.Uint64(mark[:8]) }
 
-// Width is the number of homes of a prefix, 1 or more.
+// Width returns the number of homes of a prefix, which is at least 1.
 func (w *Widen) Width(mark [mtchain.MarkSize]byte) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h, ok := w.kept[key(mark)]; ok {
-		return h.width
+	if p, ok := w.tracked[key(mark)]; ok {
+		return p.width
 	}
 	return 1
 }
 
-// Waited takes in the shortest expected wait among a prefix's homes and the
-// cost of computing it elsewhere, and returns the new number of homes.
+// Waited records the shortest expected wait among a prefix's homes and the cost of
+// computing the prefix elsewhere, and returns the new number of homes.
 func (w *Widen) Waited(mark [mtchain.MarkSize]byte, wait, cost time.Duration) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	h, kept := w.kept[key(mark)]
-	if !kept {
+	p, tracked := w.tracked[key(mark)]
+	if !tracked {
 		if wait <= cost {
 			return 1
 		}
-		h = w.keep(key(mark), now)
+		p = w.track(key(mark), now)
 	}
-	if float64(wait) > float64(cost)*narrowShare {
-		h.waited = now
+	if float64(wait) > float64(cost)*narrowThreshold {
+		p.lastWait = now
 	}
 	switch {
-	case wait > cost && h.width < Most && now.Sub(h.changed) >= max(cost, leastPause):
-		h.width++
-		h.changed = now
-	case now.Sub(h.waited) >= narrowAfter && now.Sub(h.changed) >= narrowAfter:
-		h.width--
-		h.changed = now
+	case wait > cost && p.width < Most && now.Sub(p.widthChanged) >= max(cost, minWidenInterval):
+		p.width++
+		p.widthChanged = now
+	case now.Sub(p.lastWait) >= narrowAfter && now.Sub(p.widthChanged) >= narrowAfter:
+		p.width--
+		p.widthChanged = now
 	}
-	if h.width == 1 && h.changed.Equal(now) {
-		delete(w.kept, key(mark))
+	if p.width == 1 && p.widthChanged.Equal(now) {
+		delete(w.tracked, key(mark))
 	}
-	return h.width
+	return p.width
 }
 
-// keep makes room for one more hot prefix; it widens at once.
-func (w *Widen) keep(key uint64, now time.Time) *hot {
-	if len(w.kept) >= maxKept {
-		w.giveUp(now)
+// track starts to track a prefix, and evicts others if there is no room. The prefix
+// may get a second home at once.
+func (w *Widen) track(key uint64, now time.Time) *hotPrefix {
+	if len(w.tracked) >= maxTracked {
+		w.evict(now)
 	}
-	h := &hot{width: 1, changed: now.Add(-time.Hour), waited: now}
-	w.kept[key] = h
-	return h
+	p := &hotPrefix{width: 1, widthChanged: now.Add(-time.Hour), lastWait: now}
+	w.tracked[key] = p
+	return p
 }
 
-// giveUp drops the prefixes that have not waited of late, and some prefix
-// where there is none.
-func (w *Widen) giveUp(now time.Time) {
-	for key, h := range w.kept {
-		if now.Sub(h.waited) >= narrowAfter {
-			delete(w.kept, key)
+// evict removes the prefixes that have not made a request wait recently, and then
+// arbitrary ones until there is room.
+func (w *Widen) evict(now time.Time) {
+	for key, p := range w.tracked {
+		if now.Sub(p.lastWait) >= narrowAfter {
+			delete(w.tracked, key)
 		}
 	}
-	for key := range w.kept {
-		if len(w.kept) < maxKept {
+	for key := range w.tracked {
+		if len(w.tracked) < maxTracked {
 			return
 		}
-		delete(w.kept, key)
+		delete(w.tracked, key)
 	}
 }
--- a/internal/placement/mtwiden/widen_test.go
+++ b/internal/placement/mtwiden/widen_test.go
@@ -11,10 +11,10 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// Everyone asks for one dossier within a minute. Its homes must grow, but one
-// at a time: a burst that scatters it over the fleet makes each target compute
-// it and evict what others need. Afterwards it must not swing.
-func TestWidensByOneAndNarrowsLate(t *testing.T) {
+// Guards against a burst for one prefix that spreads it over the whole fleet, where
+// each target computes it and evicts blocks that other requests need, and against
+// a number of homes that oscillates afterwards. Homes are added one at a time.
+func TestWidensOneHomeAtATimeAndNarrowsSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := mtwiden.New()
@@ -23,7 +23,7 @@
 		for range 100 {
 			w.Waited(mark, 3*cost, cost)
 		}
-		g.Expect(w.Width(mark)).To(Equal(2), "one more home for the whole burst")
+		g.Expect(w.Width(mark)).To(Equal(2), "the burst adds a single home")
 		for range 5 {
 			time.Sleep(cost)
 			w.Waited(mark, 3*cost, cost)
@@ -33,7 +33,7 @@
 			time.Sleep(time.Second)
 			w.Waited(mark, cost/2, cost)
 		}
-		g.Expect(w.Width(mark)).To(Equal(7), "waits between the limits change nothing")
+		g.Expect(w.Width(mark)).To(Equal(7), "waits between the two thresholds change nothing")
 		for range 200 {
 			time.Sleep(time.Second)
 			w.Waited(mark, 0, cost)
