--- a/internal/placement/mtmemory/memory.go
+++ b/internal/placement/mtmemory/memory.go
@@ -1,8 +1,9 @@
-// Package mtmemory remembers on which targets prefixes were last seen.
+// Package mtmemory remembers which targets were last seen with a prefix.
 //
-// It answers prompts that were placed away from their homes, because the homes
-// were busy: without it the next prompt of the same dossier looks at the homes
-// only and is computed anew. It is a hint; the target's own word decides.
+// A prompt is sent to a target that is not one of its homes when the homes are
+// busy. Without the memory, the next prompt with the same prefix would be offered
+// to the homes only and computed again. The memory is a hint: what the target
+// itself answers takes precedence.
 package mtmemory
 
 import (
@@ -13,79 +14,81 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// Shape of the table. 16,384 sets of 4 ways hold 65,536 marks in 3 MB, against
-// 256 MB for a node: at 60 requests a second and entry, and a dozen marks a
-// request, that is 90 seconds of marks that are all new. Engines evict blocks
-// within seconds.
+// The table is set-associative. 16,384 sets of 4 ways hold 65,536 marks in 3 MB; the
+// memory budget of a node is 256 MB. At 60 requests per second and entry, and a dozen
+// marks per request, it holds the marks of 90 seconds even if all of them are new.
+// Engines evict blocks within seconds.
 const (
-	sets    = 16384
-	ways    = 4
-	stripes = 64
-	// Holders is the number of targets remembered for a mark. A hot prefix
-	// that more targets hold needs no memory to be found.
+	sets        = 16384
+	ways        = 4
+	lockStripes = 64
+	// Holders is the number of targets remembered per mark. A hot prefix that more
+	// targets hold is found without the memory.
 	Holders = 4
 )
 
-// keep is how long a sighting is worth a look.
-const keep = 2 * time.Minute
+// sightingTTL is how long a sighting is returned by lookups.
+const sightingTTL = 2 * time.Minute
 
-// sighting is one mark and the targets that held it, newest first.
+// sighting is one mark and the targets that were seen with it, newest first.
 type sighting struct {
-	tag     uint64
-	seen    int64
-	count   tally
-	targets [Holders]uint32
+	tag      uint64
+	lastSeen int64
+	requests decayingCounter
+	targets  [Holders]uint32
 }
 
-// Memory is bounded. It is safe for concurrent use.
+// Memory is a table of sightings of fixed size. It is safe for concurrent use.
 type Memory struct {
-	locks [stripes]sync.Mutex
+	locks [lockStripes]sync.Mutex
 	table []sighting
 
-	counting sync.Mutex
-	all      tally
+	requestsMu sync.Mutex
+	requests   decayingCounter
 }
 
 // New returns an empty memory.
 func New() *Memory { return &Memory{table: make([]sighting, sets*ways)} }
 
-func place(mark [mtchain.MarkSize]byte) (tag uint64, set int) {
+func locate(mark [mtchain.MarkSize]byte) (tag uint64, set int) {
 	tag = binary.LittleEndian.Uint64(mark[:8])
 	return tag, int(binary.LittleEndian.Uint64(mark[8:]) % sets)
 }
 
-// See remembers that a target, which is not 0, holds a mark.
+// See records that a target, which is not 0, holds a mark.
 func (m *Memory) See(mark [mtchain.MarkSize]byte, target uint32) {
-	tag, set := place(mark)
-	lock := &m.locks[set%stripes]
+	tag, set := locate(mark)
+	lock := &m.locks[set%lockStripes]
 	lock.Lock()
 	defer lock.Unlock()
 	now := time.Now().UnixNano()
-	entry := oldest(m.table[set*ways:(set+1)*ways], tag)
+	entry := lookupOrVictim(m.table[set*ways:(set+1)*ways], tag)
 	if entry.tag != tag {
 		*entry = sighting{tag: tag}
 	}
-	entry.seen = now
-	entry.count.add(now)
-	entry.push(target)
+	entry.lastSeen = now
+	entry.requests.add(now)
+	entry.moveToFront(target)
 }
 
-// oldest returns the mark's entry, or the one to give up for it.
-func oldest(entries []sighting, tag uint64) *sighting {
+// lookupOrVictim returns the entry with the tag, or the least recently seen one if there
+// is none, for the caller to overwrite.
+func lookupOrVictim(entries []sighting, tag uint64) *sighting {
 	victim := &entries[0]
 	for i := range entries {
 		if entries[i].tag == tag {
 			return &entries[i]
 		}
-		if entries[i].seen < victim.seen {
+		if entries[i].lastSeen < victim.lastSeen {
 			victim = &entries[i]
 		}
 	}
 	return victim
 }
 
-// push puts a target in front of the list.
-func (s *sighting) push(target uint32) {
+// moveToFront puts a target first in the list. The last one is dropped if the list is
+// full.
+func (s *sighting) moveToFront(target uint32) {
 	for i := range s.targets {
 		if s.targets[i] == target || i == Holders-1 {
 			copy(s.targets[1:i+1], s.targets[:i])
@@ -95,50 +98,51 @@
 	s.targets[0] = target
 }
 
-// Count counts a request, for shares.
+// Count counts a request, so that a mark's share of all requests can be computed.
 func (m *Memory) Count() {
-	m.counting.Lock()
-	defer m.counting.Unlock()
-	m.all.add(time.Now().UnixNano())
+	m.requestsMu.Lock()
+	defer m.requestsMu.Unlock()
+	m.requests.add(time.Now().UnixNano())
 }
 
-// Requests is the number of requests of late.
+// Requests returns the number of recent requests, with older ones decayed.
 func (m *Memory) Requests() float64 {
-	m.counting.Lock()
-	defer m.counting.Unlock()
-	return m.all.now(time.Now().UnixNano())
+	m.requestsMu.Lock()
+	defer m.requestsMu.Unlock()
+	return m.requests.value(time.Now().UnixNano())
 }
 
-// Sightings is the number of requests of late that had a mark.
+// Sightings returns the number of recent requests that had a mark, with older ones
+// decayed.
 func (m *Memory) Sightings(mark [mtchain.MarkSize]byte) float64 {
-	tag, set := place(mark)
-	lock := &m.locks[set%stripes]
+	tag, set := locate(mark)
+	lock := &m.locks[set%lockStripes]
 	lock.Lock()
 	defer lock.Unlock()
 	for i := range m.table[set*ways : (set+1)*ways] {
 		entry := &m.table[set*ways+i]
 		if entry.tag == tag {
-			return entry.count.now(time.Now().UnixNano())
+			return entry.requests.value(time.Now().UnixNano())
 		}
 	}
 	return 0
 }
 
-// Forget drops a target from a mark: it turned out not to hold it.
+// Forget removes a target that turned out not to hold a mark.
 func (m *Memory) Forget(mark [mtchain.MarkSize]byte, target uint32) {
-	tag, set := place(mark)
-	lock := &m.locks[set%stripes]
+	tag, set := locate(mark)
+	lock := &m.locks[set%lockStripes]
 	lock.Lock()
 	defer lock.Unlock()
 	for i := range m.table[set*ways : (set+1)*ways] {
 		entry := &m.table[set*ways+i]
 		if entry.tag == tag {
-			entry.drop(target)
+			entry.remove(target)
 		}
 	}
 }
 
-func (s *sighting) drop(target uint32) {
+func (s *sighting) remove(target uint32) {
 	for i := range s.targets {
 		if s.targets[i] == target {
 			copy(s.targets[i:], s.targets[i+1:])
@@ -148,17 +152,17 @@
 	}
 }
 
-// Find returns the targets that were seen with a mark, newest first, 0 for
-// none, and how long ago the last sighting was.
+// Find returns the targets that were seen with a mark, newest first and padded with
+// 0, and the time since the last sighting.
 func (m *Memory) Find(mark [mtchain.MarkSize]byte) (targets [Holders]uint32, age time.Duration) {
-	tag, set := place(mark)
-	lock := &m.locks[set%stripes]
+	tag, set := locate(mark)
+	lock := &m.locks[set%lockStripes]
 	lock.Lock()
 	defer lock.Unlock()
 	for i := range m.table[set*ways : (set+1)*ways] {
 		entry := &m.table[set*ways+i]
-		age = time.Duration(time.Now().UnixNano() - entry.seen)
-		if entry.tag == tag && age < keep {
+		age = time.Duration(time.Now().UnixNano() - entry.lastSeen)
+		if entry.tag == tag && age < sightingTTL {
 			return entry.targets, age
 		}
 	}
--- a/internal/placement/mtmemory/tally.go
+++ b/internal/placement/mtmemory/tally.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// tallyHalf is the time in which a count wears off by half: long enough for a
-// few requests of a prefix that makes up one target's share, short enough to
-// follow a shift of the hot prefixes.
-const tallyHalf = 10 * time.Second
+// counterHalfLife is the half-life of a count. It is long enough to see a few requests of
+// a prefix that makes up one target's share, and short enough to follow a change
+// of the hot prefixes.
+const counterHalfLife = 10 * time.Second
 
-// tally counts with old counts worn off.
-type tally struct {
-	count float64
-	at    int64
+// decayingCounter is a counter that decays exponentially.
+type decayingCounter struct {
+	// count is the value at updatedAt, in Unix nanoseconds.
+	count     float64
+	updatedAt int64
 }
 
-func (t *tally) now(now int64) float64 {
-	return t.count * math.Exp2(-float64(now-t.at)/float64(tallyHalf))
+func (c *decayingCounter) value(now int64) float64 {
+	return c.count * math.Exp2(-float64(now-c.updatedAt)/float64(counterHalfLife))
 }
 
-func (t *tally) add(now int64) {
-	t.count = t.now(now) + 1
-	t.at = now
+func (c *decayingCounter) add(now int64) {
+	c.count = c.value(now) + 1
+	c.updatedAt = now
 }
