--- a/internal/placement/mtpause/pauses_test.go
+++ b/internal/placement/mtpause/pauses_test.go
@@ -10,9 +10,9 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtpause"
 )
 
-// Failure: a shorter pause that is asked for later ends the longer one, or a pause never
-// ends.
-func TestLastEndHolds(t *testing.T) {
+// Guards against a longer pause that is cut short by a shorter one requested later, and
+// against a pause that never ends.
+func TestLaterEndApplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := mtpause.New()
