--- a/internal/admission/mtqueue/bench_test.go
+++ b/internal/admission/mtqueue/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/mustardtide/mustardtide/internal/admission/mtqueue"
 )
 
-// BenchmarkAdmission is one admission decision, and the start or end that makes
-// room for the next, with as many requests waiting as there are accounts.
+// BenchmarkAdmission measures one admission decision plus the start or end of the request that
+// makes room for the next, with one waiting request per account.
 func BenchmarkAdmission(b *testing.B) {
 	for _, accounts := range []int{8, 12000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -26,14 +26,14 @@
 					Prompt: 100, Output: 10, Class: mustardtidev1.Class_SHORT, Left: durationpb.New(time.Hour),
 				}
 			}
-			before := heap()
+			before := heapInUse()
 			q := mtqueue.New(&mustardtidev1.Service{Slots: proto.Uint32(16), Prefill: proto.Float64(1e6), Decode: durationpb.New(10 * time.Millisecond)}, nil)
 			for _, work := range works[:accounts] {
 				if refusal := q.Add(work, 0); refusal != nil {
 					b.Fatal(refusal)
 				}
 			}
-			state := float64(heap()-before) / float64(accounts)
+			stateBytes := float64(heapInUse()-before) / float64(accounts)
 			b.ReportAllocs()
 			next := accounts
 			for b.Loop() {
@@ -43,12 +43,13 @@
 				next = (next + 1) % len(works)
 				q.Done(works[next].GetRun(), 1, nil)
 			}
-			b.ReportMetric(state, "B/account")
+			b.ReportMetric(stateBytes, "B/account")
 		})
 	}
 }
 
-// BenchmarkRefusal is a refusal for a deadline that the backlog passes.
+// BenchmarkRefusal measures refusing a request whose deadline is before the predicted end of
+// the backlog.
 func BenchmarkRefusal(b *testing.B) {
 	for _, accounts := range []int{8, 12000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -67,7 +68,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
--- a/internal/admission/mtqueue/expire.go
+++ b/internal/admission/mtqueue/expire.go
@@ -8,78 +8,78 @@
 	"github.com/mustardtide/mustardtide/internal/observe/mtcode"
 )
 
-// scanEvery is the time between two looks at all that waits. A look at 12,000
-// requests takes well under a millisecond; ten a second are below a percent of
-// a core, and no caller notices a tenth of a second.
-const scanEvery = 100 * time.Millisecond
+// scanInterval is the minimum time between two scans of all waiting requests. Scanning 12,000
+// requests takes well under 1 ms, so ten scans a second use less than 1% of a core, and a delay
+// of 100 ms does not matter to callers.
+const scanInterval = 100 * time.Millisecond
 
-// Expire gives each waiting request that is given up, with its refusal, and
-// takes it out: those displaced by accounts with less in the queue, and those
-// whose predicted wait now passes their deadline.
-func (q *Queue) Expire(give func(*mustardtidev1.Work, *mtrefusal.Refusal)) {
+// Expire removes waiting requests that can no longer be served and passes each with its refusal
+// to refuse. These are the requests evicted in favour of accounts with less queued work, and
+// those whose predicted wait now exceeds their deadline.
+func (q *Queue) Expire(refuse func(*mustardtidev1.Work, *mtrefusal.Refusal)) {
 	q.now = time.Now()
 	for _, it := range q.evicted {
-		give(it.work, q.full().After(q.comeBack(0)))
+		refuse(it.work, q.queueFull().After(q.retryAfter(0)))
 	}
 	q.evicted = q.evicted[:0]
-	if q.now.Sub(q.scanned) < scanEvery {
+	if q.now.Sub(q.lastScan) < scanInterval {
 		return
 	}
-	q.scanned = q.now
+	q.lastScan = q.now
 	for lane := range q.lanes {
-		q.scan(lane, give)
+		q.scan(lane, refuse)
 	}
 }
 
-// scan judges a lane in the order of its tags. What is given up is not ahead
-// of those behind it.
-func (q *Queue) scan(lane int, give func(*mustardtidev1.Work, *mtrefusal.Refusal)) {
-	var before sums
-	var late []*item
+// scan checks the deadlines of a lane's items in tag order. An expired item does not count as
+// work ahead of the items behind it.
+func (q *Queue) scan(lane int, refuse func(*mustardtidev1.Work, *mtrefusal.Refusal)) {
+	var ahead sums
+	var expired []*item
 	var refusals []*mtrefusal.Refusal
-	base := q.base(q.Queued() > 0)
-	other := q.drain(q.lanes[1-lane].total())
+	base := q.baseWait(q.Queued() > 0)
+	otherDrain := q.drainTime(q.lanes[1-lane].total())
 	each(q.lanes[lane].root, func(it *item) {
-		wait := seconds(base + combine(lane, q.drain(before), other))
-		if refusal := q.late(it, wait); refusal != nil {
-			late = append(late, it)
+		wait := seconds(base + laneWait(lane, q.drainTime(ahead), otherDrain))
+		if refusal := q.checkDeadline(it, wait); refusal != nil {
+			expired = append(expired, it)
 			refusals = append(refusals, refusal)
 			return
 		}
-		before = before.plus(it.need)
+		ahead = ahead.plus(it.demand)
 	})
-	for i, it := range late {
+	for i, it := range expired {
 		q.lanes[lane].remove(it)
 		delete(q.byKey, it.key)
-		give(it.work, refusals[i])
+		refuse(it.work, refusals[i])
 	}
 }
 
-// makeRoom keeps the queue within its bounds. A full queue gives up the
-// requests of the account that has most of it, which stand last; a newcomer
-// that would itself stand last is refused.
+// makeRoom keeps the lane within its bounds. A full lane evicts the items with the latest tags,
+// which belong to the account with the most queued work. A new item that would itself be last
+// is refused.
 func (q *Queue) makeRoom(it *item) *mtrefusal.Refusal {
-	for q.over(it) {
-		worst := last(q.lanes[it.lane].root)
-		if worst == nil || worst.before(it) {
-			return q.full().After(q.comeBack(0))
+	for q.overBounds(it) {
+		victim := last(q.lanes[it.lane].root)
+		if victim == nil || victim.before(it) {
+			return q.queueFull().After(q.retryAfter(0))
 		}
-		q.lane(worst).remove(worst)
-		delete(q.byKey, worst.key)
-		q.evicted = append(q.evicted, worst)
+		q.lane(victim).remove(victim)
+		delete(q.byKey, victim.key)
+		q.evicted = append(q.evicted, victim)
 	}
 	return nil
 }
 
-// over says whether a lane has no room for an item. Each lane has its own
-// bounds: a flood of one class takes no room from the other.
-func (q *Queue) over(it *item) bool {
+// overBounds reports whether adding an item would exceed its lane's bounds. Each lane has its
+// own bounds, so that a flood of one class takes no room from the other.
+func (q *Queue) overBounds(it *item) bool {
 	s := q.lane(it).total()
 	if s.count == 0 {
 		return false
 	}
-	s = s.plus(it.need)
-	return s.prompt > heldTokens/float64(len(q.lanes)) || q.drain(s) > backlogTime.Seconds()
+	s = s.plus(it.demand)
+	return s.prompt > maxQueuedTokens/float64(len(q.lanes)) || q.drainTime(s) > maxBacklogTime.Seconds()
 }
 
-func (q *Queue) full() *mtrefusal.Refusal { return mtrefusal.New(mtcode.QueueFull, "") }
+func (q *Queue) queueFull() *mtrefusal.Refusal { return mtrefusal.New(mtcode.QueueFull, "") }
--- a/internal/admission/mtqueue/output.go
+++ b/internal/admission/mtqueue/output.go
@@ -4,58 +4,58 @@
 	mustardtidev1 "github.com/mustardtide/mustardtide/gen/mustardtide/v1"
 )
 
-// keptOutputs bounds the accounts and services whose answers are remembered:
-// 12,000 accounts in steady use, each with one service at a target, and a third
-// to spare; about 100 bytes each.
-const keptOutputs = 16384
+// maxOutputEstimates bounds the number of account and service pairs with an estimate. It covers
+// 12,000 active accounts, each using one service of a target, plus a third; an entry takes
+// about 100 bytes.
+const maxOutputEstimates = 16384
 
-// outputs estimates an answer's length from the account's earlier answers. A
-// caller asks for the most it would take; most answers are far shorter, and a
-// caller that names no bound asks for none.
-type outputs struct {
-	ratio map[service]float64
-	ring  []service
+// outputEstimates predicts the output length of a request from its account's earlier outputs of
+// the same service. A caller's bound on output tokens is the most that it accepts, and most
+// outputs are far shorter. A request without a bound has an estimate of zero.
+type outputEstimates struct {
+	ratio map[serviceKey]float64
+	ring  []serviceKey
 	next  int
 }
 
-// service names an account's use of a service.
-type service struct {
+// serviceKey identifies an account's use of a service.
+type serviceKey struct {
 	account string
 	name    string
 }
 
-// expect is the expected output tokens of a request, and whether they are
-// learned; the most that the caller asks for otherwise.
-func (o *outputs) expect(work *mustardtidev1.Work) (float64, bool) {
-	asked := float64(work.GetOutput())
-	ratio, known := o.ratio[service{work.GetAccount(), work.GetService()}]
-	if !known {
-		return asked, false
+// estimate returns the expected output tokens of a request and whether they were learned.
+// Without earlier outputs it returns the caller's bound.
+func (o *outputEstimates) estimate(work *mustardtidev1.Work) (float64, bool) {
+	requested := float64(work.GetOutput())
+	ratio, learned := o.ratio[serviceKey{work.GetAccount(), work.GetService()}]
+	if !learned {
+		return requested, false
 	}
-	return asked * ratio, true
+	return requested * ratio, true
 }
 
-// learn takes in a finished answer's length. The oldest account entered makes
-// room for a new one.
-func (o *outputs) learn(work *mustardtidev1.Work, output uint64) {
+// record updates the estimate with the length of a finished output. A new entry replaces the
+// one added first once the table is full.
+func (o *outputEstimates) record(work *mustardtidev1.Work, output uint64) {
 	if work.GetOutput() == 0 || output == 0 {
 		return
 	}
-	name := service{work.GetAccount(), work.GetService()}
+	id := serviceKey{work.GetAccount(), work.GetService()}
 	sample := float64(output) / float64(work.GetOutput())
-	if old, known := o.ratio[name]; known {
-		o.ratio[name] = blend(old, sample)
+	if old, known := o.ratio[id]; known {
+		o.ratio[id] = ewma(old, sample)
 		return
 	}
 	if o.ratio == nil {
-		o.ratio = map[service]float64{}
+		o.ratio = map[serviceKey]float64{}
 	}
-	if len(o.ring) < keptOutputs {
-		o.ring = append(o.ring, name)
+	if len(o.ring) < maxOutputEstimates {
+		o.ring = append(o.ring, id)
 	} else {
 		delete(o.ratio, o.ring[o.next])
-		o.ring[o.next] = name
-		o.next = (o.next + 1) % keptOutputs
+		o.ring[o.next] = id
+		o.next = (o.next + 1) % maxOutputEstimates
 	}
-	o.ratio[name] = sample
+	o.ratio[id] = sample
 }
--- a/internal/admission/mtqueue/pattern_test.go
+++ b/internal/admission/mtqueue/pattern_test.go
@@ -28,11 +28,11 @@
 		After  time.Duration
 		Factor float64
 	}
-	Load []load
-	Want []want
+	Load []accountLoad
+	Want []expectation
 }
 
-type load struct {
+type accountLoad struct {
 	Account string
 	Weight  float64
 	Class   string
@@ -44,34 +44,34 @@
 	Left    time.Duration
 }
 
-type want struct {
+type expectation struct {
 	Account string
 	Served  float64
 	First   time.Duration
 	Late    int
 }
 
-// caller is what one account's callers received.
-type caller struct {
-	sent    int
-	served  int
-	late    int
-	refused int
-	first   []time.Duration
-	after   []time.Duration
-	told    []time.Duration // how long after the sending each refusal came
+// callerStats counts what the callers of one account received.
+type callerStats struct {
+	sent            int
+	served          int
+	late            int
+	refused         int
+	firstTokenTimes []time.Duration
+	retryAfter      []time.Duration
+	refusalTimes    []time.Duration // time from sending a request to its refusal
 }
 
-// target is a model engine that computes prompts one after another and runs
-// what the queue hands it.
+// target simulates a model engine that computes one prompt at a time and runs what the queue
+// starts.
 type target struct {
-	mu        sync.Mutex
-	queue     *mtqueue.Queue
-	waiting   map[string]chan *mtrefusal.Refusal
-	computing chan struct{} // a mutex would stop the paused clock
-	slowAfter time.Time
-	slow      float64
-	wake      chan struct{}
+	mu         sync.Mutex
+	queue      *mtqueue.Queue
+	waiting    map[string]chan *mtrefusal.Refusal
+	computing  chan struct{} // semaphore; blocking on a mutex would stop synctest's clock
+	slowAfter  time.Time
+	slowFactor float64
+	wake       chan struct{}
 }
 
 const (
@@ -86,17 +86,17 @@
 	}
 	service := &mustardtidev1.Service{Name: "trip", Kind: proto.String("model"), Slots: proto.Uint32(8), Memory: proto.Uint64(p.Memory), Prefill: proto.Float64(prefill), Decode: durationpb.New(decode)}
 	t := &target{
-		queue:     mtqueue.New(service, func(account string) float64 { return weights[account] }),
-		waiting:   map[string]chan *mtrefusal.Refusal{},
-		wake:      make(chan struct{}, 1),
-		computing: make(chan struct{}, 1),
-		slow:      cmp.Or(p.Slow.Factor, 1),
+		queue:      mtqueue.New(service, func(account string) float64 { return weights[account] }),
+		waiting:    map[string]chan *mtrefusal.Refusal{},
+		wake:       make(chan struct{}, 1),
+		computing:  make(chan struct{}, 1),
+		slowFactor: cmp.Or(p.Slow.Factor, 1),
 	}
 	t.slowAfter = time.Now().Add(p.Slow.After)
 	return t
 }
 
-// step lets the queue start and give up what it will.
+// step delivers the queue's refusals and starts all requests that can run now.
 func (t *target) step() {
 	t.queue.Expire(func(work *mustardtidev1.Work, refusal *mtrefusal.Refusal) {
 		t.waiting[work.GetRun()] <- refusal
@@ -110,7 +110,7 @@
 	}
 }
 
-// tick steps at the queue's own times until done closes.
+// tick calls step whenever the queue's wake time comes, until done is closed.
 func (t *target) tick(done <-chan struct{}) {
 	for {
 		t.mu.Lock()
@@ -132,37 +132,37 @@
 	}
 }
 
-func (t *target) pace() float64 {
-	if t.slow > 1 && time.Now().After(t.slowAfter) {
-		return t.slow
+func (t *target) slowdown() float64 {
+	if t.slowFactor > 1 && time.Now().After(t.slowAfter) {
+		return t.slowFactor
 	}
 	return 1
 }
 
-// run sends one request and reports when its first token and its end came.
+// run sends one request and returns the times of its first token and its end.
 func (t *target) run(work *mustardtidev1.Work, matched uint64) (first, end time.Time, refusal *mtrefusal.Refusal) {
-	answer := make(chan *mtrefusal.Refusal, 1)
+	decision := make(chan *mtrefusal.Refusal, 1)
 	t.mu.Lock()
-	t.waiting[work.GetRun()] = answer
+	t.waiting[work.GetRun()] = decision
 	if refusal = t.queue.Add(work, matched); refusal == nil {
 		t.step()
 	}
 	t.mu.Unlock()
 	if refusal == nil {
-		refusal = <-answer
+		refusal = <-decision
 	}
 	if refusal != nil {
 		return first, end, refusal
 	}
 	t.computing <- struct{}{}
-	time.Sleep(time.Duration(float64(work.GetPrompt()-matched) / prefill * t.pace() * float64(time.Second)))
+	time.Sleep(time.Duration(float64(work.GetPrompt()-matched) / prefill * t.slowdown() * float64(time.Second)))
 	<-t.computing
 	first = time.Now()
 	t.mu.Lock()
 	t.queue.First(work.GetRun(), work.GetAttempt())
 	t.step()
 	t.mu.Unlock()
-	time.Sleep(time.Duration(float64(work.GetOutput()-1) * t.pace() * float64(decode)))
+	time.Sleep(time.Duration(float64(work.GetOutput()-1) * t.slowdown() * float64(decode)))
 	t.mu.Lock()
 	t.queue.Done(work.GetRun(), work.GetAttempt(), &mustardtidev1.Finish{Complete: true, Prompt: work.GetPrompt(), Cached: matched, Output: work.GetOutput()})
 	t.step()
@@ -170,16 +170,16 @@
 	return first, time.Now(), nil
 }
 
-// play runs a pattern and returns what the callers of each account received.
-func play(p pattern) map[string]*caller {
+// play runs a pattern and returns the results of the callers by account.
+func play(p pattern) map[string]*callerStats {
 	t := newTarget(p)
 	done := make(chan struct{})
 	go t.tick(done)
-	callers := map[string]*caller{}
+	callers := map[string]*callerStats{}
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for _, l := range p.Load {
-		callers[l.Account] = &caller{}
+		callers[l.Account] = &callerStats{}
 		for i := range l.Count {
 			group.Go(func() {
 				time.Sleep(time.Duration(i) * l.Every)
@@ -192,7 +192,7 @@
 				first, end, refusal := t.run(work, l.Matched)
 				mu.Lock()
 				defer mu.Unlock()
-				callers[l.Account].note(sent, first, end, l.Left, refusal)
+				callers[l.Account].record(sent, first, end, l.Left, refusal)
 			})
 		}
 	}
@@ -202,18 +202,18 @@
 	return callers
 }
 
-func (c *caller) note(sent, first, end time.Time, left time.Duration, refusal *mtrefusal.Refusal) {
+func (c *callerStats) record(sent, first, end time.Time, left time.Duration, refusal *mtrefusal.Refusal) {
 	c.sent++
 	switch {
 	case refusal != nil:
 		c.refused++
-		c.after = append(c.after, refusal.Wait())
-		c.told = append(c.told, time.Since(sent))
+		c.retryAfter = append(c.retryAfter, refusal.Wait())
+		c.refusalTimes = append(c.refusalTimes, time.Since(sent))
 	case end.Sub(sent) > left:
 		c.late++
 	default:
 		c.served++
-		c.first = append(c.first, first.Sub(sent))
+		c.firstTokenTimes = append(c.firstTokenTimes, first.Sub(sent))
 	}
 }
 
@@ -225,10 +225,10 @@
 	return times[int(share*float64(len(times)-1))]
 }
 
-// Everyone comes within a moment, one account sends far more than the others,
-// long jobs stand among short ones, or the target turns slow. What callers get
-// must hold the bounds of the data file, and every refusal says that nothing
-// ran and when to come back. Cause: one target, more work than it can do.
+// Guards against unfair or late service while one target has more work than it can do: all
+// accounts send at the same moment, one account sends far more than the others, long jobs mix
+// with short ones, or the target turns slow. The results must stay within the bounds in the
+// data file, and every refusal must carry a time to retry after.
 func TestPatterns(t *testing.T) {
 	text, err := os.ReadFile("testdata/patterns.yaml")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -240,16 +240,16 @@
 				g := NewWithT(t)
 				got := play(p)
 				for account, c := range got {
-					t.Logf("%s: sent %d served %d late %d refused %d first p50 %v p99 %v", account, c.sent, c.served, c.late, c.refused, percentile(c.first, 0.5), percentile(c.first, 0.99))
-					g.Expect(percentile(c.told, 0.5)).To(BeNumerically("<", time.Millisecond), "most refusals come at once")
-					for _, after := range c.after {
+					t.Logf("%s: sent %d served %d late %d refused %d first p50 %v p99 %v", account, c.sent, c.served, c.late, c.refused, percentile(c.firstTokenTimes, 0.5), percentile(c.firstTokenTimes, 0.99))
+					g.Expect(percentile(c.refusalTimes, 0.5)).To(BeNumerically("<", time.Millisecond), "most refusals must be immediate")
+					for _, after := range c.retryAfter {
 						g.Expect(after).To(BeNumerically(">", 0))
 					}
 				}
 				for _, w := range p.Want {
 					c := got[w.Account]
 					g.Expect(float64(c.served)/float64(c.sent)).To(BeNumerically(">=", w.Served), w.Account)
-					g.Expect(percentile(c.first, 0.99)).To(BeNumerically("<=", w.First), w.Account)
+					g.Expect(percentile(c.firstTokenTimes, 0.99)).To(BeNumerically("<=", w.First), w.Account)
 					g.Expect(c.late).To(BeNumerically("<=", w.Late), w.Account)
 				}
 			})
--- a/internal/admission/mtqueue/rates.go
+++ b/internal/admission/mtqueue/rates.go
@@ -6,32 +6,33 @@
 	mustardtidev1 "github.com/mustardtide/mustardtide/gen/mustardtide/v1"
 )
 
-// Defaults of a service whose settings give none; they hold until the first
-// requests are measured.
+// Defaults for services whose settings give no values. They apply until the first requests are
+// measured.
 const (
-	defaultSlots   = 8
-	defaultPrefill = 10000
-	defaultDecode  = 20 * time.Millisecond
-	plainTime      = 100 * time.Millisecond
+	defaultSlots     = 8
+	defaultPrefill   = 10000
+	defaultDecode    = 20 * time.Millisecond
+	defaultPlainTime = 100 * time.Millisecond
 )
 
-// gain is the weight of a new measurement: after three runs two thirds of a
-// change are taken in, and a single outlier moves an estimate by a third.
-const gain = 0.3
+// ewmaWeight is the weight of a new sample in the moving average: after three samples two
+// thirds of a change are taken over, while a single outlier shifts an estimate by less than a
+// third of its deviation.
+const ewmaWeight = 0.3
 
-// swing bounds one measurement against the estimate, so that a clock step or a
-// run of a few tokens can't turn a rate by more than this factor.
-const swing = 16
+// maxSampleFactor bounds the ratio between a sample and the current estimate, so that a clock
+// step or a run of a few tokens cannot distort a rate further.
+const maxSampleFactor = 16
 
-// leastFresh is the fewest computed prompt tokens of which a prefill rate is
-// measured: below it the fixed part of a step decides.
-const leastFresh = 256
+// minPrefillSample is the fewest computed prompt tokens that give a prefill sample. For shorter
+// prompts the fixed cost of a step dominates.
+const minPrefillSample = 256
 
-// limits is what a target can run at once.
+// limits are the target's concurrency limits and the cost of an output token.
 type limits struct {
-	slots    int
-	memory   float64
-	exchange float64
+	slots           int
+	memory          float64
+	outputTokenCost float64
 }
 
 func (l *limits) configure(service *mustardtidev1.Service) {
@@ -40,24 +41,24 @@
 		l.slots = defaultSlots
 	}
 	l.memory = float64(service.GetMemory())
-	prefill, decode := configured(service)
-	// An output token takes one slot for one decode step; in that time the
-	// target computes this many prompt tokens.
-	l.exchange = max(1, prefill*decode/float64(l.slots))
+	prefill, decode := configuredRates(service)
+	// An output token occupies one slot for one decode step. In that time the target can
+	// compute this many prompt tokens.
+	l.outputTokenCost = max(1, prefill*decode/float64(l.slots))
 }
 
-// rates is how fast the target works, as measured; seconds and tokens.
+// rates are the target's measured speeds, in seconds and tokens.
 type rates struct {
-	prefill float64
-	decode  float64
-	request float64 // slot time of a request beside its tokens
-	memory  float64 // mean memory of a running request
+	prefill         float64
+	decode          float64
+	requestOverhead float64 // fixed slot time of a request besides its tokens
+	meanMemory      float64 // mean memory of a running request, in tokens
 
-	setPrefill float64
-	setDecode  float64
+	configuredPrefill float64
+	configuredDecode  float64
 }
 
-func configured(service *mustardtidev1.Service) (prefill, decode float64) {
+func configuredRates(service *mustardtidev1.Service) (prefill, decode float64) {
 	prefill = service.GetPrefill()
 	if prefill <= 0 {
 		prefill = defaultPrefill
@@ -70,55 +71,56 @@
 }
 
 func (r *rates) configure(service *mustardtidev1.Service) {
-	prefill, decode := configured(service)
-	if prefill != r.setPrefill {
-		r.prefill, r.setPrefill = prefill, prefill
+	prefill, decode := configuredRates(service)
+	if prefill != r.configuredPrefill {
+		r.prefill, r.configuredPrefill = prefill, prefill
 	}
-	if decode != r.setDecode {
-		r.decode, r.setDecode = decode, decode
+	if decode != r.configuredDecode {
+		r.decode, r.configuredDecode = decode, decode
 	}
-	if r.request == 0 && service.GetKind() == "plain" {
-		r.request = plainTime.Seconds()
+	if r.requestOverhead == 0 && service.GetKind() == "plain" {
+		r.requestOverhead = defaultPlainTime.Seconds()
 	}
 }
 
-// hold is the slot time of a request's or a sum's tokens, in seconds.
-func (r *rates) hold(s sums) float64 {
-	return s.fresh/r.prefill + s.output*r.decode + float64(s.count)*r.request
+// slotTime returns the slot time of a request or a sum of requests, in seconds.
+func (r *rates) slotTime(s sums) float64 {
+	return s.fresh/r.prefill + s.output*r.decode + float64(s.count)*r.requestOverhead
 }
 
-// parallel is how many requests the target runs at once on average: its slots,
-// or fewer where memory is used up first.
-func (r *rates) parallel(l *limits) float64 {
+// concurrency returns how many requests the target runs at once on average: its slots, or fewer
+// if memory is exhausted first.
+func (r *rates) concurrency(l *limits) float64 {
 	n := float64(l.slots)
-	if l.memory > 0 && r.memory > 0 {
-		n = min(n, max(1, l.memory/r.memory))
+	if l.memory > 0 && r.meanMemory > 0 {
+		n = min(n, max(1, l.memory/r.meanMemory))
 	}
 	return n
 }
 
-// measurePrefill takes in the time that some prompt tokens took.
+// measurePrefill updates the prefill rate with the time taken to compute some prompt tokens.
 func (r *rates) measurePrefill(fresh float64, took time.Duration) {
-	if fresh >= leastFresh && took > 0 {
-		r.prefill = blend(r.prefill, fresh/took.Seconds())
+	if fresh >= minPrefillSample && took > 0 {
+		r.prefill = ewma(r.prefill, fresh/took.Seconds())
 	}
 }
 
-// measureEnd takes in a run's time from its first output to its end.
-func (r *rates) measureEnd(it *item, output uint64) {
+// measureFinish updates the decode time from the time between a request's first output and its
+// end. For a request without tokens it updates the fixed overhead.
+func (r *rates) measureFinish(it *item, output uint64) {
 	now := time.Now()
-	if output > 1 && it.seen {
-		r.decode = blend(r.decode, now.Sub(it.firstAt).Seconds()/float64(output-1))
+	if output > 1 && it.hasFirstOutput {
+		r.decode = ewma(r.decode, now.Sub(it.firstOutputAt).Seconds()/float64(output-1))
 	}
-	if output == 0 && it.need.prompt == 0 {
-		r.request = blend(r.request, now.Sub(it.begun).Seconds())
+	if output == 0 && it.demand.prompt == 0 {
+		r.requestOverhead = ewma(r.requestOverhead, now.Sub(it.startedAt).Seconds())
 	}
 }
 
-func blend(old, sample float64) float64 {
+func ewma(old, sample float64) float64 {
 	if old == 0 {
 		return sample
 	}
-	sample = min(max(sample, old/swing), old*swing)
-	return old + gain*(sample-old)
+	sample = min(max(sample, old/maxSampleFactor), old*maxSampleFactor)
+	return old + ewmaWeight*(sample-old)
 }
--- a/internal/admission/mtqueue/tree.go
+++ b/internal/admission/mtqueue/tree.go
@@ -1,11 +1,11 @@
 package mtqueue
 
-// The waiting requests of a lane form a treap in the order of their tags, each
-// node with the sums of its subtree: entering, taking out and the sums ahead of
-// a tag take time logarithmic in the waiting requests.
+// The waiting requests of a lane form a treap ordered by tag, in which each node holds the sums
+// of its subtree. Inserting, removing and summing up the items before a tag take time
+// logarithmic in the number of waiting requests.
 
-func (it *item) update() {
-	it.sum = it.need
+func (it *item) updateSum() {
+	it.sum = it.demand
 	if it.left != nil {
 		it.sum = it.sum.plus(it.left.sum)
 	}
@@ -17,12 +17,12 @@
 func insert(root, it *item) *item {
 	if root == nil {
 		it.left, it.right = nil, nil
-		it.update()
+		it.updateSum()
 		return it
 	}
-	if it.rank > root.rank {
+	if it.priority > root.priority {
 		it.left, it.right = split(root, it)
-		it.update()
+		it.updateSum()
 		return it
 	}
 	if it.before(root) {
@@ -30,11 +30,11 @@
 	} else {
 		root.right = insert(root.right, it)
 	}
-	root.update()
+	root.updateSum()
 	return root
 }
 
-// split parts a tree into what stands before it and the rest.
+// split divides a tree into the items before it and the rest.
 func split(root, it *item) (*item, *item) {
 	if root == nil {
 		return nil, nil
@@ -42,12 +42,12 @@
 	if root.before(it) {
 		less, more := split(root.right, it)
 		root.right = less
-		root.update()
+		root.updateSum()
 		return root, more
 	}
 	less, more := split(root.left, it)
 	root.left = more
-	root.update()
+	root.updateSum()
 	return less, root
 }
 
@@ -58,13 +58,13 @@
 	if more == nil {
 		return less
 	}
-	if less.rank > more.rank {
+	if less.priority > more.priority {
 		less.right = merge(less.right, more)
-		less.update()
+		less.updateSum()
 		return less
 	}
 	more.left = merge(less, more.left)
-	more.update()
+	more.updateSum()
 	return more
 }
 
@@ -80,12 +80,12 @@
 	} else {
 		root.right = remove(root.right, it)
 	}
-	root.update()
+	root.updateSum()
 	return root
 }
 
-// ahead sums the items before it.
-func ahead(root, it *item) sums {
+// sumBefore returns the sums of the items before it.
+func sumBefore(root, it *item) sums {
 	var s sums
 	for root != nil {
 		if !root.before(it) {
@@ -95,7 +95,7 @@
 		if root.left != nil {
 			s = s.plus(root.left.sum)
 		}
-		s = s.plus(root.need)
+		s = s.plus(root.demand)
 		root = root.right
 	}
 	return s
@@ -115,7 +115,7 @@
 	return root
 }
 
-// each visits the items in order.
+// each calls visit for the items in order.
 func each(root *item, visit func(*item)) {
 	if root == nil {
 		return
