--- a/internal/admission/mtqueue/bench_test.go
+++ b/internal/admission/mtqueue/bench_test.go
@@ -26,14 +26,14 @@
 					Prompt: 100, Output: 10, Class: mustardtidev1.Class_SHORT, Left: durationpb.New(time.Hour),
 				}
 			}
-			before := heapInUse()
+			before := heapAlloc()
 			q := mtqueue.New(&mustardtidev1.Service{Slots: proto.Uint32(16), Prefill: proto.Float64(1e6), Decode: durationpb.New(10 * time.Millisecond)}, nil)
 			for _, work := range works[:accounts] {
 				if refusal := q.Add(work, 0); refusal != nil {
 					b.Fatal(refusal)
 				}
 			}
-			stateBytes := float64(heapInUse()-before) / float64(accounts)
+			stateBytes := float64(heapAlloc()-before) / float64(accounts)
 			b.ReportAllocs()
 			next := accounts
 			for b.Loop() {
@@ -68,7 +68,7 @@
 	}
 }
 
-func heapInUse() uint64 {
+func heapAlloc() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
--- a/internal/admission/mtqueue/item.go
+++ b/internal/admission/mtqueue/item.go
@@ -48,8 +48,8 @@
 	sum          sums
 }
 
-// sums are amounts that are added up over requests. They are kept in tokens and converted to
-// time with the target's current rates, so that a change of rate applies to all waiting
+// sums are amounts that are added up over requests. They are kept as token counts and converted
+// to time with the target's current rates, so that a change of rate applies to all waiting
 // requests.
 type sums struct {
 	count  int
