--- a/internal/admission/mtlimiter/fleet_test.go
+++ b/internal/admission/mtlimiter/fleet_test.go
@@ -16,90 +16,92 @@
 )
 
 const (
-	// step is the resolution of the model.
+	// step is the time resolution of the simulation.
 	step = 2 * time.Millisecond
-	// waitTime is how long a request waits for its permit, workTime how long a target takes.
-	waitTime = 15 * time.Millisecond
-	workTime = 60 * time.Millisecond
-	// digestTime and fanout are how often entries tell each other what they know, and how
-	// many at a time; forgotten is when one that was not heard of no longer counts as live.
-	digestTime = 300 * time.Millisecond
-	fanout     = 6
-	forgotten  = 5 * time.Second
-	// stable is how long after a restart, a freeze or a cut an entry's requests do not count.
-	stable = 3 * time.Second
-	target = "target"
+	// permitWait is how long a request waits for its permit, serviceTime how long a target
+	// takes to answer.
+	permitWait  = 15 * time.Millisecond
+	serviceTime = 60 * time.Millisecond
+	// digestInterval is how often entries gossip, and fanout to how many others at a time.
+	// peerTimeout is how long after its last message a peer counts as live.
+	digestInterval = 300 * time.Millisecond
+	fanout         = 6
+	peerTimeout    = 5 * time.Second
+	// recoveryTime is how long after a restart, a freeze or a partition an entry's requests are
+	// not checked.
+	recoveryTime = 3 * time.Second
+	target       = "target"
 )
 
-// message is a datagram under way.
+// message is a datagram in flight.
 type message struct {
-	at       time.Time
-	from, to *entry
-	draw     *fleetv1.Draw
-	grant    *fleetv1.Grant
-	digest   *fleetv1.Digest
+	deliverAt time.Time
+	from, to  *entry
+	draw      *fleetv1.Draw
+	grant     *fleetv1.Grant
+	digest    *fleetv1.Digest
 }
 
-// entry is one entry of the modelled fleet.
+// entry is one entry of the simulated fleet.
 type entry struct {
-	fleet   *fleet
-	address string
-	limits  *mtlimit.Limits
-	limiter *mtlimiter.Limiter
-	readers *mtreader.Readers
-	heard   map[*entry]time.Time
-	down    bool
-	frozen  bool
-	side    int
-	inbox   []message
-	ticked  time.Time
-	told    time.Time
+	fleet      *fleet
+	address    string
+	limits     *mtlimit.Limits
+	limiter    *mtlimiter.Limiter
+	readers    *mtreader.Readers
+	lastSeen   map[*entry]time.Time
+	down       bool
+	frozen     bool
+	partition  int
+	inbox      []message
+	lastTick   time.Time
+	nextDigest time.Time
 }
 
 // waiter is a request that waits for its permit.
 type waiter struct {
-	at      time.Time
+	since   time.Time
 	entry   *entry
 	limiter *mtlimiter.Limiter
 	ticket  *mtquota.Ticket
 }
 
-// answer is one that is to come.
-type answer struct {
-	at      time.Time
-	sent    time.Time
+// answerInFlight is an answer that has not arrived yet.
+type answerInFlight struct {
+	dueAt   time.Time
+	sentAt  time.Time
 	entry   *entry
 	limits  *mtlimit.Limits
 	message *fleetv1.Answer
 }
 
-// fleet is the modelled fleet and one target.
+// fleet simulates the entries and one target.
 type fleet struct {
-	r       *rand.Rand
+	rng     *rand.Rand
 	entries []*entry
-	// byAddress are the entries by where they take datagrams.
+	// byAddress maps the addresses at which entries receive datagrams.
 	byAddress map[string]*entry
-	wire      []message
+	inFlight  []message
 	waiting   []waiter
-	answers   []answer
+	answers   []answerInFlight
 	window    *mtwindow.Window
-	// all checks the requests of all entries, as if each had passed on the limit when the
-	// target named it.
-	all *mtwindow.Window
-	// rate is what the target names, nil for nothing; asked is how many requests callers
-	// send in a second.
-	rate    *float64
-	asked   float64
-	lost    float64
-	divided bool
-	// draws counts the draws that were sent, refused the requests without a permit.
+	// allWindow checks the requests of all entries, as if each had received the limit
+	// limitSpreadTime after the target first named it.
+	allWindow *mtwindow.Window
+	// rate is the limit that the target names, nil for none. requestRate is the number of
+	// requests per second that callers send.
+	rate        *float64
+	requestRate float64
+	lossRate    float64
+	partitioned bool
+	// draws counts the draws sent, refused the requests refused for lack of a permit.
 	draws   int
 	refused int
 	sent    int
 }
 
-func newFleet(seed uint64, entries int, asked float64) *fleet {
-	f := &fleet{r: rand.New(rand.NewPCG(seed, seed)), asked: asked, byAddress: map[string]*entry{}}
+func newFleet(seed uint64, entries int, requestRate float64) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, seed)), requestRate: requestRate, byAddress: map[string]*entry{}}
 	for i := range entries {
 		e := &entry{fleet: f, address: fmt.Sprintf("10.1.%d.%d:7340", i/200, i%200+1)}
 		f.entries = append(f.entries, e)
@@ -111,102 +113,104 @@
 	return f
 }
 
-// limit lets the target name a limit from now on.
-func (f *fleet) limit(rate float64) {
-	f.rate, f.window, f.all = &rate, mtwindow.New(rate), mtwindow.New(rate)
+// setLimit makes the target name a limit from now on.
+func (f *fleet) setLimit(rate float64) {
+	f.rate, f.window, f.allWindow = &rate, mtwindow.New(rate), mtwindow.New(rate)
 	for _, e := range f.entries {
-		f.all.Told(e.address, time.Now().Add(settleTime))
+		f.allWindow.Told(e.address, time.Now().Add(limitSpreadTime))
 	}
 }
 
-// settleTime is how long entries take to tell each other of a limit.
-const settleTime = 2 * time.Second
+// limitSpreadTime is how long it takes until gossip has spread a limit to all entries.
+const limitSpreadTime = 2 * time.Second
 
 func (e *entry) start() {
 	e.down, e.frozen = false, false
 	e.limits = mtlimit.New()
 	e.limiter = mtlimiter.New(e.address, e.limits)
-	e.readers = mtreader.New(e.address, digestTime, fanout)
-	e.heard, e.inbox = map[*entry]time.Time{}, nil
-	e.told = time.Now().Add(time.Duration(e.fleet.r.Int64N(int64(digestTime))))
-	// An entry that starts meets some of the others at sidecars.
+	e.readers = mtreader.New(e.address, digestInterval, fanout)
+	e.lastSeen, e.inbox = map[*entry]time.Time{}, nil
+	e.nextDigest = time.Now().Add(time.Duration(e.fleet.rng.Int64N(int64(digestInterval))))
+	// A starting entry learns some of the others from sidecars.
 	for range min(len(e.fleet.entries), 2*fanout) {
-		if other := e.fleet.some(); other != e && !other.down {
-			e.heard[other] = time.Now()
+		if other := e.fleet.randomEntry(); other != e && !other.down {
+			e.lastSeen[other] = time.Now()
 		}
 	}
 }
 
-func (f *fleet) some() *entry { return f.entries[f.r.IntN(len(f.entries))] }
+func (f *fleet) randomEntry() *entry { return f.entries[f.rng.IntN(len(f.entries))] }
 
-// run lets the model run for a time.
+// run advances the simulation by d.
 func (f *fleet) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(step)
 		f.deliver()
 		for _, e := range f.entries {
 			if !e.down && !e.frozen {
-				e.live()
+				e.tick()
 			}
 		}
-		for n := f.poisson(f.asked * step.Seconds()); n > 0; n-- {
-			f.ask(f.some())
+		for n := f.poisson(f.requestRate * step.Seconds()); n > 0; n-- {
+			f.request(f.randomEntry())
 		}
-		f.settle()
-		f.answered()
+		f.resolveWaiting()
+		f.deliverAnswers()
 	}
 }
 
-// live does what is due at an entry.
-func (e *entry) live() {
-	if !time.Now().Before(e.told) {
-		e.told = e.told.Add(digestTime)
-		e.tell()
+// tick sends an entry's digests and draws that are due.
+func (e *entry) tick() {
+	if !time.Now().Before(e.nextDigest) {
+		e.nextDigest = e.nextDigest.Add(digestInterval)
+		e.sendDigest()
 	}
-	if time.Since(e.ticked) < mtquota.TickTime || !e.limiter.Due() {
+	if time.Since(e.lastTick) < mtquota.TickTime || !e.limiter.Due() {
 		return
 	}
-	e.ticked = time.Now()
-	for _, m := range e.limiter.Tick(e.allocators(), e.known(), len(e.heard)+1) {
+	e.lastTick = time.Now()
+	for _, m := range e.limiter.Tick(e.allocators(), e.knownPeers(), len(e.lastSeen)+1) {
 		e.send(m)
 	}
 }
 
-// known are the other entries that were heard of.
-func (e *entry) known() []string {
-	var list []string
-	for other, last := range e.heard {
-		if time.Since(last) > forgotten {
-			delete(e.heard, other)
+// knownPeers returns the other entries heard from within peerTimeout.
+func (e *entry) knownPeers() []string {
+	var addresses []string
+	for other, seen := range e.lastSeen {
+		if time.Since(seen) > peerTimeout {
+			delete(e.lastSeen, other)
 			continue
 		}
-		list = append(list, other.address)
+		addresses = append(addresses, other.address)
 	}
-	return list
+	return addresses
 }
 
-// allocators are the entries that follow the store for all, as the entry knows them.
+// allocators returns the entries that may allocate: the known store readers, or all known
+// entries if there are none.
 func (e *entry) allocators() []string {
 	if list := e.readers.Addresses(); len(list) > 0 {
 		return list
 	}
-	return append(e.known(), e.address)
+	return append(e.knownPeers(), e.address)
 }
 
-// tell sends a digest to some of the others.
-func (e *entry) tell() {
+// sendDigest sends a digest to random peers.
+func (e *entry) sendDigest() {
 	e.readers.Resize(len(e.fleet.entries))
 	e.readers.Join(false)
-	digest := &fleetv1.Digest{Limits: e.limits.Recent(12), Readers: e.readersTold(), Entries: uint32(e.limiter.Observed())}
+	digest := &fleetv1.Digest{Limits: e.limits.Recent(12), Readers: e.digestReaders(), Entries: uint32(e.limiter.Observed())}
 	for range min(fanout, len(e.fleet.entries)-1) {
-		if other := e.fleet.some(); other != e {
+		if other := e.fleet.randomEntry(); other != e {
 			e.fleet.post(message{from: e, to: other, digest: digest})
 		}
 	}
 }
 
-// readersTold are the readers in a digest, with their addresses while some target is limited.
-func (e *entry) readersTold() []*fleetv1.Reader {
+// digestReaders returns the readers for a digest, with addresses only while a target is
+// limited.
+func (e *entry) digestReaders() []*fleetv1.Reader {
 	list := e.readers.Known()
 	if e.limits.Count() == 0 {
 		for _, reader := range list {
@@ -227,34 +231,35 @@
 	e.fleet.post(message{from: e, to: e.fleet.byAddress[m.To()], draw: m.Draw()})
 }
 
-// post puts a datagram on the wire: lost or late now and then.
+// post sends a datagram with a random delay, unless it is lost or crosses a partition.
 func (f *fleet) post(m message) {
-	if f.divided && m.from.side != m.to.side || f.r.Float64() < f.lost {
+	if f.partitioned && m.from.partition != m.to.partition || f.rng.Float64() < f.lossRate {
 		return
 	}
-	m.at = time.Now().Add(time.Duration(f.r.Int64N(int64(3 * time.Millisecond))))
-	f.wire = append(f.wire, m)
+	m.deliverAt = time.Now().Add(time.Duration(f.rng.Int64N(int64(3 * time.Millisecond))))
+	f.inFlight = append(f.inFlight, m)
 }
 
-// deliver hands over what has arrived; a frozen entry takes it in when it wakes.
+// deliver passes on the datagrams that have arrived. A frozen entry processes them when it
+// thaws.
 func (f *fleet) deliver() {
-	under := f.wire
-	f.wire = nil
-	for _, m := range under {
+	pending := f.inFlight
+	f.inFlight = nil
+	for _, m := range pending {
 		switch {
-		case time.Now().Before(m.at):
-			f.wire = append(f.wire, m)
+		case time.Now().Before(m.deliverAt):
+			f.inFlight = append(f.inFlight, m)
 		case m.to.down:
 		case m.to.frozen:
 			m.to.inbox = append(m.to.inbox, m)
 		default:
-			m.to.take(m)
+			m.to.receive(m)
 		}
 	}
 }
 
-func (e *entry) take(m message) {
-	e.heard[m.from] = time.Now()
+func (e *entry) receive(m message) {
+	e.lastSeen[m.from] = time.Now()
 	switch {
 	case m.digest != nil:
 		e.limits.Merge(m.digest.GetLimits())
@@ -270,8 +275,8 @@
 	}
 }
 
-// ask lets a caller ask an entry for something that the target should serve.
-func (f *fleet) ask(e *entry) {
+// request simulates a caller's request to an entry.
+func (f *fleet) request(e *entry) {
 	if e.down || e.frozen {
 		return
 	}
@@ -285,31 +290,31 @@
 		f.waiting = append(f.waiting, waiter{time.Now(), e, e.limiter, waiting.Ticket()})
 		return
 	}
-	f.decided(e, verdict)
+	f.handleVerdict(e, verdict)
 }
 
-// settle decides on those that have waited long enough.
-func (f *fleet) settle() {
-	var left []waiter
+// resolveWaiting resolves the requests whose permit was answered or whose wait is over.
+func (f *fleet) resolveWaiting() {
+	var remaining []waiter
 	for _, w := range f.waiting {
-		answered := false
+		resolved := false
 		select {
 		case <-w.ticket.Done():
-			answered = true
+			resolved = true
 		default:
 		}
 		switch {
 		case w.entry.limiter != w.limiter:
-		case w.entry.frozen || !answered && time.Since(w.at) < waitTime:
-			left = append(left, w)
+		case w.entry.frozen || !resolved && time.Since(w.since) < permitWait:
+			remaining = append(remaining, w)
 		default:
-			f.decided(w.entry, w.limiter.Resolve(w.ticket))
+			f.handleVerdict(w.entry, w.limiter.Resolve(w.ticket))
 		}
 	}
-	f.waiting = left
+	f.waiting = remaining
 }
 
-func (f *fleet) decided(e *entry, verdict mtquota.Verdict) {
+func (f *fleet) handleVerdict(e *entry, verdict mtquota.Verdict) {
 	if _, refused := verdict.(mtquota.Refused); refused {
 		f.refused++
 		return
@@ -317,76 +322,76 @@
 	f.sent++
 	if f.window != nil {
 		f.window.Visit(e.address, time.Now())
-		f.all.Visit(e.address, time.Now())
+		f.allWindow.Visit(e.address, time.Now())
 	}
-	said := &fleetv1.Answer{Sealed: true}
+	reply := &fleetv1.Answer{Sealed: true}
 	if f.rate != nil {
-		said.Limited, said.Limit = true, proto.Float64(*f.rate)
+		reply.Limited, reply.Limit = true, proto.Float64(*f.rate)
 	}
-	f.answers = append(f.answers, answer{time.Now().Add(workTime), time.Now(), e, e.limits, said})
+	f.answers = append(f.answers, answerInFlight{time.Now().Add(serviceTime), time.Now(), e, e.limits, reply})
 }
 
-// answered lets entries pass on the answers that are due.
-func (f *fleet) answered() {
-	var left []answer
+// deliverAnswers delivers the target's answers that are due.
+func (f *fleet) deliverAnswers() {
+	var remaining []answerInFlight
 	for _, a := range f.answers {
 		switch {
 		case a.entry.limits != a.limits:
-		case a.entry.frozen || time.Now().Before(a.at):
-			left = append(left, a)
+		case a.entry.frozen || time.Now().Before(a.dueAt):
+			remaining = append(remaining, a)
 		default:
-			a.limits.Hear(target, 0, a.message, a.sent)
+			a.limits.Hear(target, 0, a.message, a.sentAt)
 			if a.message.Limit != nil && f.window != nil {
 				f.window.Told(a.entry.address, time.Now())
 			}
 		}
 	}
-	f.answers = left
+	f.answers = remaining
 }
 
 func (f *fleet) poisson(mean float64) int {
 	n := 0
-	for at := f.r.ExpFloat64(); at < mean; at += f.r.ExpFloat64() {
+	for at := f.rng.ExpFloat64(); at < mean; at += f.rng.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-// events are what may happen to a fleet.
+// events are the events that a simulation applies to the fleet.
 var events = []string{"restart of one", "restart of half", "restart of all", "freeze", "cut", "lossy", "flood", "calm", "steady"}
 
-// event lets one thing happen; those to which it happens are excused.
+// event applies one event. Requests of the affected entries are excused from the check.
 func (f *fleet) event(kind string) {
 	switch kind {
 	case "restart of one":
-		f.restart([]*entry{f.some()})
+		f.restart([]*entry{f.randomEntry()})
 	case "restart of half":
-		f.restart(f.part(0.5))
+		f.restart(f.sample(0.5))
 	case "restart of all":
 		f.restart(f.entries)
 	case "freeze":
-		f.hold(f.part(0.3), func(e *entry) { e.frozen = true }, (*entry).thaw)
+		f.disrupt(f.sample(0.3), func(e *entry) { e.frozen = true }, (*entry).thaw)
 	case "cut":
-		f.divided = true
-		f.hold(f.part(0.3), func(e *entry) { e.side = 1 }, func(e *entry) { e.side = 0 })
-		f.divided = false
+		f.partitioned = true
+		f.disrupt(f.sample(0.3), func(e *entry) { e.partition = 1 }, func(e *entry) { e.partition = 0 })
+		f.partitioned = false
 	case "lossy":
-		f.lost = 0.2
+		f.lossRate = 0.2
 		f.run(3 * time.Second)
-		f.lost = 0
+		f.lossRate = 0
 	case "flood":
-		f.asked *= 3
+		f.requestRate *= 3
 	case "calm":
-		f.asked /= 3
+		f.requestRate /= 3
 	case "steady":
 	}
-	f.run(time.Duration(f.r.Int64N(int64(5 * time.Second))))
+	f.run(time.Duration(f.rng.Int64N(int64(5 * time.Second))))
 }
 
-func (f *fleet) part(chance float64) []*entry {
+func (f *fleet) sample(chance float64) []*entry {
 	var list []*entry
 	for _, e := range f.entries {
-		if f.r.Float64() < chance {
+		if f.rng.Float64() < chance {
 			list = append(list, e)
 		}
 	}
@@ -394,31 +399,31 @@
 }
 
 func (f *fleet) restart(list []*entry) {
-	f.hold(list, func(e *entry) { e.down = true }, (*entry).start)
+	f.disrupt(list, func(e *entry) { e.down = true }, (*entry).start)
 }
 
-// hold does something to some entries, and undoes it after a time.
-func (f *fleet) hold(list []*entry, do, undo func(e *entry)) {
+// disrupt applies a disruption to some entries and undoes it after a random time.
+func (f *fleet) disrupt(list []*entry, apply, undo func(e *entry)) {
 	from := time.Now()
 	for _, e := range list {
-		do(e)
+		apply(e)
 	}
-	f.run(200*time.Millisecond + time.Duration(f.r.Int64N(int64(5*time.Second))))
+	f.run(200*time.Millisecond + time.Duration(f.rng.Int64N(int64(5*time.Second))))
 	for _, e := range list {
 		undo(e)
 		if f.window != nil {
-			f.window.Excuse(e.address, from, time.Now().Add(stable))
+			f.window.Excuse(e.address, from, time.Now().Add(recoveryTime))
 		}
 	}
 }
 
-// thaw wakes a frozen entry.
+// thaw resumes a frozen entry, which then processes its queued datagrams.
 func (e *entry) thaw() {
 	e.frozen = false
 	inbox := e.inbox
 	e.inbox = nil
-	e.told = time.Now()
+	e.nextDigest = time.Now()
 	for _, m := range inbox {
-		e.take(m)
+		e.receive(m)
 	}
 }
--- a/internal/admission/mtlimiter/limiter.go
+++ b/internal/admission/mtlimiter/limiter.go
@@ -1,9 +1,10 @@
-// Package mtlimiter holds the fleet to the limits that targets name.
+// Package mtlimiter keeps the fleet within the limits that targets name.
 //
-// A target in need names how many requests a second it takes, and entries by the hundred want
-// to send to it. Equal parts allow each of them far less than one request, or together far too
-// much. So a target's limit is treated as a client account's quota is: every entry lends its
-// share to an allocator, and each request draws a permit from there.
+// A target that must shed load names how many requests per second it accepts, while hundreds of
+// entries want to send to it. With equal shares, each entry could send far less than one
+// request per second, or all of them together far too much. A target's limit is therefore
+// handled like a client account's quota: every entry lends its share to an allocator, and each
+// request draws a permit from it.
 package mtlimiter
 
 import (
@@ -18,39 +19,39 @@
 	"github.com/mustardtide/mustardtide/internal/admission/mtquota"
 )
 
-// The platform allows one and a half times what a limit allows in a span, and five requests
-// more. What the least rate and the burst use of that is taken off the surplus.
+// The platform allows one and a half times a limit over a span, plus five requests. What the
+// minimum rate and the burst use of this is subtracted from the surplus.
 const (
 	span      = 4 * time.Second
 	overshoot = 0.5
-	surplus   = 5 - (1+overshoot)*(burst+leastRate*4)
-	// burst is the number of permits that a target which got no requests has at once.
+	surplus   = 5 - (1+overshoot)*(burst+minRate*4)
+	// burst is the number of permits available at once for a target that received no requests.
 	burst = 1
-	// leastRate is the rate of permits for targets that take fewer requests or none: their
-	// answers show when that ends.
-	leastRate = 0.25
+	// minRate is the permit rate for targets with a lower limit or a limit of zero. Their
+	// answers show when the limit ends.
+	minRate = 0.25
 )
 
 const (
-	// idleTick is how often the entries of the fleet are counted while no target is limited.
-	idleTick = time.Second
-	// retainTime is how often what is known of targets is compared with the limits.
-	retainTime = 10 * time.Second
+	// idleTickInterval is how often the fleet size is counted while no target is limited.
+	idleTickInterval = time.Second
+	// retainInterval is how often state of targets without a known limit is dropped.
+	retainInterval = 10 * time.Second
 )
 
-// Limiter is one entry's part in the limits of all targets. It is safe for concurrent use.
+// Limiter enforces the limits of all targets at one entry. It is safe for concurrent use.
 type Limiter struct {
 	limits    *mtlimit.Limits
 	quota     *mtquota.Quota
 	allocator *mtallocator.Allocator
 
-	mu       sync.Mutex
-	accounts map[string]*fleetv1.Account
-	ticked   time.Time
-	retained time.Time
+	mu         sync.Mutex
+	accounts   map[string]*fleetv1.Account
+	lastTick   time.Time
+	lastRetain time.Time
 }
 
-// New returns the limiter of the entry at an address, for the limits that it knows.
+// New returns a limiter for the entry at address self that enforces the given limits.
 func New(self string, limits *mtlimit.Limits) *Limiter {
 	bounds := &fleetv1.Bounds{Span: durationpb.New(span), Overshoot: overshoot, Surplus: surplus}
 	return &Limiter{
@@ -59,9 +60,9 @@
 	}
 }
 
-// Admit decides whether a target may be sent a request now. After mtquota.Waiting, the
-// ticket's message must be sent and Resolve called; after mtquota.Admitted, Refund where
-// nothing was sent.
+// Admit decides whether a request may be sent to a target now. After mtquota.Waiting, the
+// caller sends the ticket's message and calls Resolve. After mtquota.Admitted, it calls Refund
+// if nothing was sent.
 func (l *Limiter) Admit(target string) mtquota.Verdict {
 	account := l.account(target)
 	if account == nil {
@@ -69,27 +70,27 @@
 	}
 	verdict := l.quota.Admit(account, 1)
 	if waiting, ok := verdict.(mtquota.Waiting); ok {
-		l.tell(waiting.Ticket().Message())
+		l.attachLimits(waiting.Ticket().Message())
 	}
 	return verdict
 }
 
-// Resolve decides on a request that waited for its permit.
+// Resolve decides on a request that waited for a permit.
 func (l *Limiter) Resolve(ticket *mtquota.Ticket) mtquota.Verdict { return l.quota.Resolve(ticket) }
 
-// Refund gives back the permit of a request that was not sent.
+// Refund returns the permit of a request that was not sent.
 func (l *Limiter) Refund(target string) { l.quota.Refund(l.account(target), 1) }
 
-// Started takes in when a target's program was started, 0 for unknown.
+// Started records the start time of a target's process, 0 if unknown.
 func (l *Limiter) Started(target string, born int64) { l.limits.Started(target, born) }
 
-// Limited says that a target is limited.
+// Limited reports whether a target is limited.
 func (l *Limiter) Limited(target string) bool {
 	_, limited := l.limits.Rate(target)
 	return limited
 }
 
-// Wait is how long there will be no permit for a target; 0 where one may be had.
+// Wait returns how long no permit is available for a target, 0 if one may be.
 func (l *Limiter) Wait(target string) time.Duration {
 	if !l.Limited(target) {
 		return 0
@@ -97,13 +98,13 @@
 	return l.quota.Blocked(target)
 }
 
-// account stands for a target's limit; nil where it has none.
+// account returns the quota account that represents a target's limit, nil if it has no limit.
 func (l *Limiter) account(target string) *fleetv1.Account {
 	rate, limited := l.limits.Rate(target)
 	if !limited {
 		return nil
 	}
-	rate = max(leastRate, rate)
+	rate = max(minRate, rate)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	account := l.accounts[target]
@@ -114,30 +115,33 @@
 	return account
 }
 
-// Due says that Tick is to be called: now and then, and each time while a target is limited.
-func (l *Limiter) Due() bool { return l.limits.Count() > 0 || time.Since(l.ticked) >= idleTick }
+// Due reports whether Tick is to be called: always while a target is limited, otherwise once
+// per idleTickInterval.
+func (l *Limiter) Due() bool {
+	return l.limits.Count() > 0 || time.Since(l.lastTick) >= idleTickInterval
+}
 
-// Tick brings the limits up to this moment and returns the draws that are due. allocators are
-// the entries that allocate, live all others that were heard of, and entries the size of the
-// fleet. One goroutine calls it and Due.
+// Tick updates the limits to the current time and returns the draws to send. allocators are the
+// entries that allocate, live all other entries seen recently, and entries the size of the
+// fleet. Tick and Due are called from one goroutine.
 func (l *Limiter) Tick(allocators, live []string, entries int) []mtquota.Message {
 	now, limited := time.Now(), min(1, l.limits.Count())
-	l.ticked = now
+	l.lastTick = now
 	l.quota.SetPeerSize(entries)
 	l.retain(now)
 	messages := l.quota.TickAmong(limited, allocators, live)
 	for _, message := range messages {
-		l.tell(message)
+		l.attachLimits(message)
 	}
 	return messages
 }
 
-// retain forgets the targets of which nothing is known any more.
+// retain drops the state of targets without a known limit.
 func (l *Limiter) retain(now time.Time) {
-	if now.Sub(l.retained) < retainTime {
+	if now.Sub(l.lastRetain) < retainInterval {
 		return
 	}
-	l.retained = now
+	l.lastRetain = now
 	known := func(target string) bool { return l.limits.Of(target) != nil }
 	l.quota.Retain(known)
 	l.allocator.Retain(known)
@@ -150,8 +154,8 @@
 	}
 }
 
-// tell adds to a draw what is known of the limits of its targets.
-func (l *Limiter) tell(message mtquota.Message) {
+// attachLimits adds the known limits of the drawn targets to a draw.
+func (l *Limiter) attachLimits(message mtquota.Message) {
 	draw := message.Draw()
 	for _, need := range draw.GetNeeds() {
 		if limit := l.limits.Of(need.GetAccount()); limit != nil {
@@ -160,33 +164,33 @@
 	}
 }
 
-// Answer grants what it can of another entry's draw; nil for one that came twice. It returns
-// which of the limits in the draw were news.
+// Answer grants what it can of another entry's draw. The grant is nil for a duplicate draw. It
+// also returns the limits in the draw that were news.
 func (l *Limiter) Answer(from string, draw *fleetv1.Draw) (*fleetv1.Grant, []*fleetv1.Limit) {
-	news := l.limits.Merge(draw.GetLimits())
+	changes := l.limits.Merge(draw.GetLimits())
 	grant := l.allocator.Answer(from, draw, l.quota.Entries(), l.account)
 	for _, credit := range grant.GetCredits() {
 		if limit := l.limits.Of(credit.GetAccount()); limit != nil {
 			grant.Limits = append(grant.Limits, limit)
 		}
 	}
-	return grant, news
+	return grant, changes
 }
 
-// Receive takes in an allocator's answer. It returns which of the limits in it were news.
+// Receive processes an allocator's grant. It returns the limits in the grant that were news.
 func (l *Limiter) Receive(from string, grant *fleetv1.Grant) []*fleetv1.Limit {
 	l.quota.Receive(from, grant)
 	return l.limits.Merge(grant.GetLimits())
 }
 
-// SetPeerSize takes in the fleet's size as another entry has seen it itself.
+// SetPeerSize records the fleet size that another entry observed.
 func (l *Limiter) SetPeerSize(entries int) { l.quota.SetPeerSize(entries) }
 
-// SetStoredSize takes in the fleet's size as the store has it.
+// SetStoredSize records the fleet size according to the store.
 func (l *Limiter) SetStoredSize(entries int) { l.quota.SetStoredSize(entries) }
 
-// Observed is the size of the fleet as this entry has seen it itself of late.
+// Observed returns the fleet size that this entry observed recently.
 func (l *Limiter) Observed() int { return l.quota.ObservedSize() }
 
-// Allocating says that this entry allocates, and for how long it has.
+// Allocating reports whether this entry allocates, and for how long it has.
 func (l *Limiter) Allocating() (time.Duration, bool) { return l.quota.Allocating() }
--- a/internal/admission/mtlimiter/model_test.go
+++ b/internal/admission/mtlimiter/model_test.go
@@ -15,11 +15,11 @@
 	"github.com/mustardtide/mustardtide/internal/admission/mtlimiter"
 )
 
-// sizes are those of the fleets: a small one, a large one and that of the largest customer.
+// sizes are the tested fleet sizes: small ones, a large one and that of the largest customer.
 var sizes = []int{1, 4, 30, 356}
 
-// Failure: entries keep to a target's limit each by itself, and all together exceed it, or
-// what the target would take is not used.
+// Guards against entries that each keep to a target's limit but exceed it together, and against
+// a limit that is not used up.
 func TestSteadyFleetUsesTheLimit(t *testing.T) {
 	for _, entries := range sizes {
 		rates := []float64{0.5, 1, 1.2, 4, 40}
@@ -32,22 +32,22 @@
 					g := NewWithT(t)
 					f := newFleet(5, entries, 20+4*rate)
 					f.run(5 * time.Second)
-					f.limit(rate)
+					f.setLimit(rate)
 					f.run(6 * time.Second)
 					sent, from := f.sent, time.Now()
 					f.run(12 * time.Second)
 					g.Expect(f.window.Fault()).To(BeEmpty())
-					g.Expect(f.all.Fault()).To(BeEmpty())
+					g.Expect(f.allWindow.Fault()).To(BeEmpty())
 					got := float64(f.sent-sent) / time.Since(from).Seconds()
 					g.Expect(got).To(BeNumerically(">=", 0.7*rate))
-					t.Logf("%.2f a second, worst %d of %d, %d draws", got, f.all.Worst(), f.all.Allowed(), f.draws)
+					t.Logf("%.2f a second, worst %d of %d, %d draws", got, f.allWindow.Worst(), f.allWindow.Allowed(), f.draws)
 				})
 			})
 		}
 	}
 }
 
-// seeds is how many fleets of a size are played.
+// seeds returns the number of seeds to simulate for a fleet size.
 func seeds(entries int) uint64 {
 	if entries > 100 {
 		return 1
@@ -55,8 +55,8 @@
 	return 12
 }
 
-// Failure: entries restart, stand still, are cut off or lose datagrams, and those to which
-// nothing happened exceed the limit.
+// Guards against undisturbed entries exceeding the limit while others restart, freeze, are
+// partitioned or lose datagrams.
 func TestLimitHoldsThroughTrouble(t *testing.T) {
 	for _, entries := range sizes[1:] {
 		for seed := range seeds(entries) {
@@ -66,29 +66,29 @@
 					rate := []float64{0.5, 1, 3, 20}[r.IntN(4)]
 					f := newFleet(seed, entries, 10+4*rate)
 					f.run(5 * time.Second)
-					f.limit(rate)
+					f.setLimit(rate)
 					f.run(time.Duration(r.Int64N(int64(4 * time.Second))))
-					var happened []string
+					var applied []string
 					for range 5 {
 						kind := events[r.IntN(len(events))]
-						happened = append(happened, kind)
+						applied = append(applied, kind)
 						f.event(kind)
 					}
-					NewWithT(t).Expect(f.window.Fault()).To(BeEmpty(), "%v at %v a second", happened, rate)
+					NewWithT(t).Expect(f.window.Fault()).To(BeEmpty(), "%v at %v a second", applied, rate)
 				})
 			})
 		}
 	}
 }
 
-// Failure: a target that has named a limit names none any more, and entries go on to hold to
-// it, or to send nothing.
-func TestEndOfALimitIsHeard(t *testing.T) {
+// Guards against entries that keep to a limit, or send nothing, after the target has stopped
+// naming one.
+func TestEndOfLimitTakesEffect(t *testing.T) {
 	for _, entries := range sizes {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(9, entries, 60)
-				f.limit(0)
+				f.setLimit(0)
 				f.run(12 * time.Second)
 				f.rate = nil
 				f.run(10 * time.Second)
@@ -102,7 +102,8 @@
 	}
 }
 
-// What an allocator spends on a draw in a fleet of 356 entries, half of which ask for a permit.
+// BenchmarkAnswer measures answering a draw in a fleet of 356 entries, half of which ask for a
+// permit.
 func BenchmarkAnswer(b *testing.B) {
 	const entries = 356
 	limits := mtlimit.New()
@@ -119,7 +120,7 @@
 	}
 }
 
-// What a request spends on a target that has no permit left.
+// BenchmarkWait measures checking a target that has no permit left.
 func BenchmarkWait(b *testing.B) {
 	limits := mtlimit.New()
 	for i := range 300 {
