--- a/internal/admission/mtlimit/limits.go
+++ b/internal/admission/mtlimit/limits.go
@@ -1,9 +1,9 @@
-// Package mtlimit tracks the limits that targets name: the requests a second that each takes
-// from all entries together.
+// Package mtlimit tracks the limits that targets name: the requests per second that each target
+// accepts from all entries together.
 //
-// A limit holds until an answer to a request that was sent after it was heard names none, or
-// until another program is started under the target's id. Entries tell each other what they
-// have heard and how long ago; the newest word holds.
+// A limit stays in force until an answer without a limit arrives for a request that was sent
+// after the limit was received, or until another process starts under the target's id. Entries
+// gossip the limits they know with their age; the newest statement wins.
 package mtlimit
 
 import (
@@ -21,52 +21,53 @@
 )
 
 const (
-	// most bounds the number of targets that are tracked.
-	most = 8192
-	// toldTime is how long others are told of what a target has said.
-	toldTime = 20 * time.Second
-	// liftedTime is how long a limit that no longer holds is remembered: others may still
-	// tell of it.
-	liftedTime = time.Minute
-	// newsTime is how long something counts as new when others are told.
-	newsTime = time.Second
-	// mergeMargin is by how much another entry's word must be newer to replace what is
-	// known: the transit of what both tell each other must not make it look newer.
+	// maxTargets bounds the number of tracked targets.
+	maxTargets = 8192
+	// gossipTTL is how long after a target's statement it is sent to other entries.
+	gossipTTL = 20 * time.Second
+	// endedRetention is how long an ended limit is remembered, because other entries may still
+	// send it.
+	endedRetention = time.Minute
+	// recentChangeTime is how long a change takes precedence in gossip.
+	recentChangeTime = time.Second
+	// mergeMargin is by how much another entry's statement must be newer to replace the known
+	// one. Otherwise the transit time of gossip would make the same statement look newer.
 	mergeMargin = 100 * time.Millisecond
-	// liftSpread is the time over which entries that are told of a limit's end go back to
-	// the target.
-	liftSpread = time.Second
-	// newsPart is the least part by which a changed limit is news.
-	newsPart = 0.25
+	// endSpread is the time over which entries that learn of a limit's end from others resume
+	// sending to the target.
+	endSpread = time.Second
+	// minNewsChange is the smallest relative change of a limit that counts as news.
+	minNewsChange = 0.25
 )
 
-// Limits are the ones known to one process. It is safe for concurrent use.
+// Limits holds the limits known to one process. It is safe for concurrent use.
 type Limits struct {
 	count   atomic.Int64
 	mu      sync.RWMutex
 	targets map[string]*limit
 }
 
-// limit is what a target has said last.
+// limit is the latest statement of a target.
 type limit struct {
-	// born is the start of the target's program in Unix milliseconds, 0 where not known.
+	// born is the start time of the target's process in Unix milliseconds, 0 if unknown.
 	born int64
 	rate float64
-	// named says that the target names the rate; where it does not any more, the rate holds
-	// until a time.
-	named bool
-	until time.Time
-	// said is when the target said so; changed when that was news, reported the rate then.
-	said     time.Time
-	changed  time.Time
-	reported float64
+	// active is set while the target names the rate. After that, the rate stays in force until
+	// endsAt.
+	active bool
+	endsAt time.Time
+	// statedAt is when the target made the statement, changedAt when it last was news and
+	// announcedRate the rate at that time.
+	statedAt      time.Time
+	changedAt     time.Time
+	announcedRate float64
 }
 
-// New returns a list of none.
+// New returns an empty set of limits.
 func New() *Limits { return &Limits{targets: map[string]*limit{}} }
 
-// Hear takes in what an answer of a target says, whose program was started at born, 0 for
-// unknown, to a request that was sent at a time. It reports whether that is news.
+// Hear records an answer of a target to a request that was sent at the given time. born is the
+// start time of the target's process, 0 if unknown. It reports whether the answer is news.
 func (l *Limits) Hear(target string, born int64, answer *fleetv1.Answer, sent time.Time) bool {
 	if answer.Limit == nil && l.count.Load() == 0 {
 		return false
@@ -77,60 +78,61 @@
 	switch {
 	case answer.Limit != nil:
 		rate := answer.GetLimit()
-		if known != nil && known.named && sent.Before(known.said) {
-			// Which of the two answers is the newer one is not known.
+		if known != nil && known.active && sent.Before(known.statedAt) {
+			// It is unknown which of the two answers is newer, so the lower limit wins.
 			rate = min(rate, known.rate)
 		}
-		return l.name(target, born, rate, now)
-	case answer.GetLimited() || !answer.GetSealed() || known == nil || !known.named || !sent.After(known.said):
+		return l.set(target, born, rate, now)
+	case answer.GetLimited() || !answer.GetSealed() || known == nil || !known.active || !sent.After(known.statedAt):
 		return false
 	default:
-		known.lift(sent, now)
+		known.end(sent, now)
 		return true
 	}
 }
 
-// name notes that a target has named a rate; it reports whether that is news.
-func (l *Limits) name(target string, born int64, rate float64, said time.Time) bool {
+// set records the rate that a target named and reports whether it is news.
+func (l *Limits) set(target string, born int64, rate float64, statedAt time.Time) bool {
 	known := l.targets[target]
 	if known == nil {
-		l.makeRoom()
+		l.evictOldest()
 		known = &limit{}
 		l.targets[target] = known
 		l.count.Store(int64(len(l.targets)))
 	}
-	news := !known.named || math.Abs(rate-known.reported) > newsPart*known.reported
+	news := !known.active || math.Abs(rate-known.announcedRate) > minNewsChange*known.announcedRate
 	known.born = max(known.born, born)
-	known.rate, known.named, known.said = rate, true, said
+	known.rate, known.active, known.statedAt = rate, true, statedAt
 	if news {
-		known.changed, known.reported = time.Now(), rate
+		known.changedAt, known.announcedRate = time.Now(), rate
 	}
 	return news
 }
 
-// lift notes that a target named no limit at a time; the limit holds on until another.
-func (k *limit) lift(said, until time.Time) {
-	k.named, k.said, k.until, k.changed = false, said, until, time.Now()
+// end records that the target named no limit at statedAt. The limit stays in force until
+// endsAt.
+func (k *limit) end(statedAt, endsAt time.Time) {
+	k.active, k.statedAt, k.endsAt, k.changedAt = false, statedAt, endsAt, time.Now()
 }
 
-// holds says that the limit is in force.
-func (k *limit) holds(now time.Time) bool { return k.named || now.Before(k.until) }
+// inForce reports whether the limit is in force.
+func (k *limit) inForce(now time.Time) bool { return k.active || now.Before(k.endsAt) }
 
-// makeRoom drops the oldest word where there are too many.
-func (l *Limits) makeRoom() {
-	if len(l.targets) < most {
+// evictOldest drops the limit with the oldest statement if the bound is reached.
+func (l *Limits) evictOldest() {
+	if len(l.targets) < maxTargets {
 		return
 	}
 	oldest := ""
 	for target, known := range l.targets {
-		if oldest == "" || known.said.Before(l.targets[oldest].said) {
+		if oldest == "" || known.statedAt.Before(l.targets[oldest].statedAt) {
 			oldest = target
 		}
 	}
 	delete(l.targets, oldest)
 }
 
-// Expire drops limits that ended so long ago that nobody tells of them any more.
+// Expire drops limits that ended so long ago that no entry sends them any more.
 func (l *Limits) Expire() {
 	if l.count.Load() == 0 {
 		return
@@ -139,12 +141,12 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	maps.DeleteFunc(l.targets, func(_ string, known *limit) bool {
-		return !known.holds(now) && now.Sub(known.said) > liftedTime
+		return !known.inForce(now) && now.Sub(known.statedAt) > endedRetention
 	})
 	l.count.Store(int64(len(l.targets)))
 }
 
-// Merge takes in what another entry has heard. It returns what was news.
+// Merge takes over newer limits from another entry. It returns those that were news.
 func (l *Limits) Merge(limits []*fleetv1.Limit) []*fleetv1.Limit {
 	if len(limits) == 0 {
 		return nil
@@ -152,38 +154,38 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var news []*fleetv1.Limit
-	for _, told := range limits {
-		if l.merge(told) {
-			news = append(news, told)
+	for _, update := range limits {
+		if l.mergeOne(update) {
+			news = append(news, update)
 		}
 	}
 	return news
 }
 
-func (l *Limits) merge(told *fleetv1.Limit) bool {
+func (l *Limits) mergeOne(update *fleetv1.Limit) bool {
 	now := time.Now()
-	said := now.Add(-max(0, told.GetAge().AsDuration()))
-	known := l.targets[told.GetTarget()]
+	statedAt := now.Add(-max(0, update.GetAge().AsDuration()))
+	known := l.targets[update.GetTarget()]
 	switch {
-	case now.Sub(said) > liftedTime || told.Rate != nil && !(told.GetRate() >= 0 && told.GetRate() <= math.MaxFloat64):
+	case now.Sub(statedAt) > endedRetention || update.Rate != nil && !(update.GetRate() >= 0 && update.GetRate() <= math.MaxFloat64):
 		return false
 	case known == nil:
-		return told.Rate != nil && l.name(told.GetTarget(), told.GetBorn(), told.GetRate(), said)
-	case told.GetBorn() > 0 && told.GetBorn() < known.born || said.Sub(known.said) <= mergeMargin:
+		return update.Rate != nil && l.set(update.GetTarget(), update.GetBorn(), update.GetRate(), statedAt)
+	case update.GetBorn() > 0 && update.GetBorn() < known.born || statedAt.Sub(known.statedAt) <= mergeMargin:
 		return false
-	case told.Rate != nil:
-		return l.name(told.GetTarget(), told.GetBorn(), told.GetRate(), said)
-	case known.named:
-		known.lift(said, now.Add(rand.N(liftSpread)))
+	case update.Rate != nil:
+		return l.set(update.GetTarget(), update.GetBorn(), update.GetRate(), statedAt)
+	case known.active:
+		known.end(statedAt, now.Add(rand.N(endSpread)))
 		return true
 	default:
-		known.said = said
+		known.statedAt = statedAt
 		return false
 	}
 }
 
-// Started takes in when a target's program was started, 0 for unknown. A later start than
-// that of the program that named a limit is another program's, which has named none.
+// Started records the start time of a target's process, 0 if unknown. If it is later than the
+// known one, another process has started that has named no limit, so the limit ends.
 func (l *Limits) Started(target string, born int64) {
 	if born == 0 || l.count.Load() == 0 {
 		return
@@ -198,11 +200,11 @@
 	default:
 		known.born = born
 		now := time.Now()
-		known.lift(now, now)
+		known.end(now, now)
 	}
 }
 
-// Rate is a target's limit in requests a second; false for none.
+// Rate returns a target's limit in requests per second and whether one is in force.
 func (l *Limits) Rate(target string) (float64, bool) {
 	if l.count.Load() == 0 {
 		return 0, false
@@ -210,13 +212,13 @@
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	known := l.targets[target]
-	if known == nil || !known.holds(time.Now()) {
+	if known == nil || !known.inForce(time.Now()) {
 		return 0, false
 	}
 	return known.rate, true
 }
 
-// Count is the number of targets whose limits hold.
+// Count returns the number of targets with a limit in force.
 func (l *Limits) Count() int {
 	if l.count.Load() == 0 {
 		return 0
@@ -225,48 +227,49 @@
 	defer l.mu.RUnlock()
 	now, count := time.Now(), 0
 	for _, known := range l.targets {
-		if known.holds(now) {
+		if known.inForce(now) {
 			count++
 		}
 	}
 	return count
 }
 
-// Of lists what is known of a target; nil for nothing.
+// Of returns the known limit of a target, nil if there is none. It is also returned after its
+// end, without a rate, until it expires.
 func (l *Limits) Of(target string) *fleetv1.Limit {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	if known := l.targets[target]; known != nil {
-		return known.told(target)
+		return known.toProto(target)
 	}
 	return nil
 }
 
-// Recent lists at most so many to be told to others: what is new, then some of the others.
+// Recent returns at most count limits to gossip: recent changes first, then some of the others.
 func (l *Limits) Recent(count int) []*fleetv1.Limit {
 	if l.count.Load() == 0 {
 		return nil
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	var list, rest []*fleetv1.Limit
+	var recent, older []*fleetv1.Limit
 	for target, known := range l.targets {
 		switch {
-		case time.Since(known.said) > toldTime:
-		case time.Since(known.changed) < newsTime:
-			list = append(list, known.told(target))
-		case len(rest) < count:
-			rest = append(rest, known.told(target))
+		case time.Since(known.statedAt) > gossipTTL:
+		case time.Since(known.changedAt) < recentChangeTime:
+			recent = append(recent, known.toProto(target))
+		case len(older) < count:
+			older = append(older, known.toProto(target))
 		}
 	}
-	list = append(list, rest...)
-	return list[:min(count, len(list))]
+	recent = append(recent, older...)
+	return recent[:min(count, len(recent))]
 }
 
-func (k *limit) told(target string) *fleetv1.Limit {
-	told := &fleetv1.Limit{Target: target, Born: k.born, Age: durationpb.New(time.Since(k.said))}
-	if k.named {
-		told.Rate = proto.Float64(k.rate)
+func (k *limit) toProto(target string) *fleetv1.Limit {
+	message := &fleetv1.Limit{Target: target, Born: k.born, Age: durationpb.New(time.Since(k.statedAt))}
+	if k.active {
+		message.Rate = proto.Float64(k.rate)
 	}
-	return told
+	return message
 }
