--- a/internal/placement/mtboard/ask.go
+++ b/internal/placement/mtboard/ask.go
@@ -27,9 +27,9 @@
 // maxBackoffDoublings is the number of doublings that reaches maxProbeBackoff.
 const maxBackoffDoublings = 4
 
-// Doubtful returns up to limit of the cheapest targets whose sidecars should be probed
+// ProbeCandidates returns up to limit of the cheapest targets whose sidecars should be probed
 // before one is chosen. It returns none if the state of the cheapest is current.
-func (b *Board) Doubtful(q *Query, limit int) []*fleetv1.Target {
+func (b *Board) ProbeCandidates(q *Query, limit int) []*fleetv1.Target {
 	if q.model() == "" || b.disabled.probes {
 		return nil
 	}
@@ -60,8 +60,8 @@
 	cost   time.Duration
 }
 
-// Silent records that a target's sidecar did not answer a probe.
-func (b *Board) Silent(q *Query, target string) {
+// ProbeFailed records that a target's sidecar did not answer a probe.
+func (b *Board) ProbeFailed(q *Query, target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[target]; r != nil {
--- a/internal/placement/mtboard/ask_test.go
+++ b/internal/placement/mtboard/ask_test.go
@@ -55,7 +55,7 @@
 			heartbeat.Pending += tokens
 		}
 	}
-	s.boards[entry].Hear(heartbeat)
+	s.boards[entry].UpdateState(heartbeat)
 }
 
 // send makes an entry choose an engine for a prompt, and returns how long the prompt waits
@@ -63,7 +63,7 @@
 func (s *simulation) send(entry int, q *mtboard.Query, tokens int64, probe bool) time.Duration {
 	b := s.boards[entry]
 	for probe {
-		stale := b.Doubtful(q, 4)
+		stale := b.ProbeCandidates(q, 4)
 		if len(stale) == 0 {
 			break
 		}
@@ -92,7 +92,7 @@
 		}
 		s.pending[p.engine][p.entry] -= p.tokens
 		p.choice.Started(&fleetv1.Answer{})
-		p.choice.End(mtboard.Good{})
+		p.choice.End(mtboard.Succeeded{})
 		return true
 	})
 }
@@ -170,13 +170,13 @@
 			time.Sleep(10 * time.Millisecond)
 			q := query(6000, fmt.Sprint("own", i))
 			for round := 0; round < 2; round++ {
-				stale := b.Doubtful(q, 4)
+				stale := b.ProbeCandidates(q, 4)
 				probes += len(stale)
 				for _, target := range stale {
 					if engineIndex(target.GetId()) < 2 {
-						b.Hear(state(target.GetId(), 1))
+						b.UpdateState(state(target.GetId(), 1))
 					} else {
-						b.Silent(q, target.GetId())
+						b.ProbeFailed(q, target.GetId())
 					}
 				}
 			}
@@ -194,16 +194,16 @@
 		g := NewWithT(t)
 		b := board(3)
 		for i := range 3 {
-			b.Hear(state(fmt.Sprint("e", i), 1))
+			b.UpdateState(state(fmt.Sprint("e", i), 1))
 		}
 		time.Sleep(time.Second)
 		q := query(600, "own")
-		stale := b.Doubtful(q, 1)
+		stale := b.ProbeCandidates(q, 1)
 		g.Expect(stale).To(HaveLen(1))
 		busy := state(stale[0].GetId(), 1)
 		busy.Pending = 600
-		b.Hear(busy)
-		g.Expect(b.Doubtful(q, 1)).To(HaveLen(1), "another target with an old state looks better now")
+		b.UpdateState(busy)
+		g.Expect(b.ProbeCandidates(q, 1)).To(HaveLen(1), "another target with an old state looks better now")
 		g.Expect(b.Choose(q).Target()).To(Equal(stale[0].GetId()))
 	})
 }
--- a/internal/placement/mtboard/bill.go
+++ b/internal/placement/mtboard/bill.go
@@ -91,9 +91,9 @@
 	c.runnersUp[at] = runnerUp{other.id, other.cost, other.breakdown}
 }
 
-// Losers describes the next best targets: the cost of each, and the item by which it most
+// RunnersUp describes the next best targets: the cost of each, and the item by which it most
 // exceeds the chosen one.
-func (c *Choice) Losers() string {
+func (c *Choice) RunnersUp() string {
 	var b strings.Builder
 	for i := range c.runnersUp {
 		r := &c.runnersUp[i]
--- a/internal/placement/mtboard/board.go
+++ b/internal/placement/mtboard/board.go
@@ -146,9 +146,9 @@
 	}
 }
 
-// List replaces the list of targets. replaced reports whether another target has since
+// UpdateTargets replaces the list of targets. replaced reports whether another target has since
 // taken a target's address.
-func (b *Board) List(targets map[string]*fleetv1.Target, replaced func(*fleetv1.Target) bool) {
+func (b *Board) UpdateTargets(targets map[string]*fleetv1.Target, replaced func(*fleetv1.Target) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id := range b.records {
@@ -186,8 +186,8 @@
 	return xxh3.HashString(host)
 }
 
-// Hear applies a target's state, as its sidecar or a standby sent it.
-func (b *Board) Hear(state *fleetv1.State) {
+// UpdateState applies a target's state, as its sidecar or a standby sent it.
+func (b *Board) UpdateState(state *fleetv1.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[state.GetTarget()]
@@ -220,9 +220,9 @@
 	b.limiter.Started(id, born)
 }
 
-// Unattended returns the model engines whose sidecars have not been heard from for the
+// MissingHeartbeat returns the model engines whose sidecars have not been heard from for the
 // given time.
-func (b *Board) Unattended(silence time.Duration) []*fleetv1.Target {
+func (b *Board) MissingHeartbeat(silence time.Duration) []*fleetv1.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []*fleetv1.Target
@@ -234,9 +234,9 @@
 	return list
 }
 
-// Spoke returns how long ago the sidecar of the engine at an address was last heard from
+// SinceHeartbeat returns how long ago the sidecar of the engine at an address was last heard from
 // directly.
-func (b *Board) Spoke(address string) time.Duration {
+func (b *Board) SinceHeartbeat(address string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	least := time.Duration(math.MaxInt64)
@@ -265,9 +265,9 @@
 	r.appliedUpTo = state.GetUpto()
 }
 
-// Fill sets in a hello which changes of the target's cache are known, whether they are
+// FillHello sets in a hello which changes of the target's cache are known, whether they are
 // followed, and how many tokens this entry has sent to the target that are not yet prefilled.
-func (b *Board) Fill(hello *fleetv1.Hello) {
+func (b *Board) FillHello(hello *fleetv1.Hello) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[hello.GetTarget()]; r != nil {
@@ -275,9 +275,9 @@
 	}
 }
 
-// Name merges a model's newest weights and their ages. It reports whether they are new to
+// MergeWeights merges a model's newest weights and their ages. It reports whether they are new to
 // the board.
-func (b *Board) Name(weights *fleetv1.Weights) bool {
+func (b *Board) MergeWeights(weights *fleetv1.Weights) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.weightsByModel[weights.GetModel()] == nil {
@@ -294,8 +294,8 @@
 	return b.unknownWeights
 }
 
-// NamedAge returns how long ago the latest weights were announced.
-func (b *Board) NamedAge() time.Duration {
+// NewestWeightsAge returns how long ago the latest weights were announced.
+func (b *Board) NewestWeightsAge() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var newest time.Duration
@@ -308,9 +308,9 @@
 	return newest
 }
 
-// NamedRevision returns the highest revision of the announced weights, 0 if there are
+// NewestWeightsRevision returns the highest revision of the announced weights, 0 if there are
 // none.
-func (b *Board) NamedRevision() int64 {
+func (b *Board) NewestWeightsRevision() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var newest int64
@@ -320,8 +320,8 @@
 	return newest
 }
 
-// Named returns the newest weights of all models, with their ages.
-func (b *Board) Named() []*fleetv1.Weights {
+// NewestWeights returns the newest weights of all models, with their ages.
+func (b *Board) NewestWeights() []*fleetv1.Weights {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make([]*fleetv1.Weights, 0, len(b.weightsByModel))
--- a/internal/placement/mtboard/board_test.go
+++ b/internal/placement/mtboard/board_test.go
@@ -34,8 +34,8 @@
 			Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 		}
 	}
-	b.List(list, func(*fleetv1.Target) bool { return false })
-	b.Name(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
+	b.UpdateTargets(list, func(*fleetv1.Target) bool { return false })
+	b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
 	return b
 }
 
@@ -57,7 +57,7 @@
 func serve(b *mtboard.Board, q *mtboard.Query) *mtboard.Choice {
 	c := b.Choose(q)
 	c.Started(&fleetv1.Answer{})
-	c.End(mtboard.Good{})
+	c.End(mtboard.Succeeded{})
 	return c
 }
 
@@ -74,7 +74,7 @@
 	elsewhere.Exclude(first.Target())
 	third := b.Choose(elsewhere)
 	g.Expect(third.Target()).NotTo(Equal(first.Target()))
-	g.Expect(third.Fetch()).To(Equal(first.Address()))
+	g.Expect(third.FetchFrom()).To(Equal(first.Address()))
 }
 
 // Guards against a burst of one hot prompt that queues at a single engine. Some of its
@@ -101,10 +101,10 @@
 	b := board(2)
 	q := query(9000, "rules", "dossier", "own")
 	first := b.Choose(q)
-	first.End(mtboard.Good{})
+	first.End(mtboard.Succeeded{})
 	loaded := state(first.Target(), 1)
 	loaded.Pending = 40000
-	b.Hear(loaded)
+	b.UpdateState(loaded)
 	g.Expect(b.Choose(q).Target()).NotTo(Equal(first.Target()))
 }
 
@@ -118,12 +118,12 @@
 	g.Expect(b.Choose(query(9000, "rules", "dossier", "own2")).Target()).To(Equal(first.Target()))
 	full := state(first.Target(), 1)
 	full.Report.Used = full.Report.GetTotal() - 6000
-	b.Hear(full)
+	b.UpdateState(full)
 	for i := range 8 {
 		c := serve(b, query(9000, "rules", "dossier", fmt.Sprint("own", 3+i)))
 		g.Expect(c.Target()).NotTo(Equal(first.Target()))
 	}
-	b.Hear(state(first.Target(), 1))
+	b.UpdateState(state(first.Target(), 1))
 	used := map[string]bool{}
 	for i := range 24 {
 		used[b.Choose(query(9000, "rules", "dossier", fmt.Sprint("own", 20+i))).Target()] = true
@@ -137,14 +137,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
-		b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
 		time.Sleep(7 * time.Second)
 		g.Expect(b.Choose(query(500, "q", "own"))).NotTo(BeNil())
 		time.Sleep(time.Second)
 		request := query(500, "q", "own")
 		g.Expect(b.Choose(request)).To(BeNil())
-		g.Expect(b.Lacks(request)).To(Equal("2 known: 2 with outdated weights"))
-		b.Hear(state("e1", 2))
+		g.Expect(b.UnfitSummary(request)).To(Equal("2 known: 2 with outdated weights"))
+		b.UpdateState(state("e1", 2))
 		g.Expect(b.Choose(request).Target()).To(Equal("e1"))
 	})
 }
@@ -155,12 +155,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(1)
-		b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
 		time.Sleep(6 * time.Second)
 		g.Expect(b.Choose(query(500, "q", "own"))).NotTo(BeNil())
 		busy := state("e0", 1)
 		busy.Pending = 200_000
-		b.Hear(busy)
+		b.UpdateState(busy)
 		g.Expect(b.Choose(query(500, "q", "own"))).To(BeNil())
 	})
 }
@@ -171,7 +171,7 @@
 func TestFewEnginesWithUncertainWeightsAreAvoided(t *testing.T) {
 	g := NewWithT(t)
 	b := board(4)
-	b.Name(mtnaming.Listed(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2}))
+	b.MergeWeights(mtnaming.Listed(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2}))
 	used := func() map[string]bool {
 		ids := map[string]bool{}
 		for range 80 {
@@ -179,11 +179,11 @@
 		}
 		return ids
 	}
-	b.Hear(state("e1", 2))
+	b.UpdateState(state("e1", 2))
 	g.Expect(used()).To(HaveLen(4))
-	b.Hear(state("e2", 2))
+	b.UpdateState(state("e2", 2))
 	g.Expect(used()).To(HaveLen(2))
-	b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
+	b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
 	g.Expect(used()).To(HaveLen(4))
 }
 
@@ -194,7 +194,7 @@
 		g := NewWithT(t)
 		b := board(1)
 		g.Expect(b.Choose(query(500, "q", "own")).Behind()).To(BeZero())
-		b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
 		time.Sleep(3 * time.Second)
 		g.Expect(b.Choose(query(500, "q", "own")).Behind()).To(Equal(3 * time.Second))
 	})
@@ -207,19 +207,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
-		b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
 		time.Sleep(4 * time.Second)
-		b.Name(&fleetv1.Weights{Model: "m", Version: 3, Revision: 3})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 3, Revision: 3})
 		time.Sleep(3 * time.Second)
-		b.Hear(state("e0", 1))
+		b.UpdateState(state("e0", 1))
 		g.Expect(b.Choose(query(500, "q", "own"))).NotTo(BeNil(), "no engine has newer weights")
-		b.Hear(state("e1", 3))
+		b.UpdateState(state("e1", 3))
 		for range 20 {
 			g.Expect(b.Choose(query(500, "q", "own")).Target()).To(Equal("e1"))
 		}
 		loading := state("e1", 3)
 		loading.Ordering = true
-		b.Hear(loading)
+		b.UpdateState(loading)
 		g.Expect(b.Choose(query(500, "q", "own"))).NotTo(BeNil())
 	})
 }
@@ -231,11 +231,11 @@
 		g := NewWithT(t)
 		b := board(2)
 		for version := int64(2); version <= 4; version++ {
-			b.Name(&fleetv1.Weights{Model: "m", Version: version, Revision: version})
+			b.MergeWeights(&fleetv1.Weights{Model: "m", Version: version, Revision: version})
 			time.Sleep(3 * time.Second)
 		}
-		b.Hear(state("e0", 1))
-		b.Hear(state("e1", 3))
+		b.UpdateState(state("e0", 1))
+		b.UpdateState(state("e1", 3))
 		for range 20 {
 			g.Expect(b.Choose(query(500, "q", "own")).Target()).To(Equal("e1"))
 		}
@@ -248,14 +248,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
-		b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
 		time.Sleep(gracePeriod)
-		b.Name(&fleetv1.Weights{Model: "m", Version: 3, Revision: 3})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 3, Revision: 3})
 		time.Sleep(time.Second)
-		b.Hear(state("e0", 1))
+		b.UpdateState(state("e0", 1))
 		loading := state("e1", 2)
 		loading.Ordering = true
-		b.Hear(loading)
+		b.UpdateState(loading)
 		g.Expect(b.Choose(query(500, "q", "own"))).To(BeNil(), "the grace period of its weights ended a second ago")
 	})
 }
@@ -266,9 +266,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(2)
-		b.Choose(query(500, "q", "own")).End(mtboard.Unreached{})
+		b.Choose(query(500, "q", "own")).End(mtboard.Unreachable{})
 		retried := b.Choose(query(500, "q", "own"))
-		retried.End(mtboard.Good{})
+		retried.End(mtboard.Succeeded{})
 		time.Sleep(20 * time.Second)
 		used := map[string]bool{}
 		for range 40 {
@@ -293,7 +293,7 @@
 	isolated := salt(&fleetv1.Account{Name: "a", Isolated: true})
 	g.Expect(isolated).NotTo(Equal(shared))
 	g.Expect(salt(&fleetv1.Account{Name: "b", Isolated: true})).NotTo(Equal(isolated))
-	b.Hear(state("e0", 2))
+	b.UpdateState(state("e0", 2))
 	g.Expect(salt(&fleetv1.Account{Name: "a", Isolated: true})).NotTo(Equal(isolated))
 }
 
@@ -302,13 +302,13 @@
 func TestRestartedEngineHasAnEmptyCache(t *testing.T) {
 	g := NewWithT(t)
 	b := board(1)
-	b.Hear(state("e0", 1))
+	b.UpdateState(state("e0", 1))
 	first := b.Choose(query(6000, "rules", "dossier", "own"))
 	first.Started(&fleetv1.Answer{})
 	g.Expect(b.Choose(query(6000, "rules", "dossier", "own2")).Matched()).NotTo(BeZero())
 	restarted := state("e0", 1)
 	restarted.Report.Born = 2
-	b.Hear(restarted)
+	b.UpdateState(restarted)
 	g.Expect(b.Choose(query(6000, "rules", "dossier", "own3")).Matched()).To(BeZero())
 }
 
@@ -318,7 +318,7 @@
 			board := board(engines)
 			q := query(9000, "rules", "dossier", "own")
 			for b.Loop() {
-				board.Choose(q).End(mtboard.Good{})
+				board.Choose(q).End(mtboard.Succeeded{})
 			}
 		})
 	}
@@ -336,15 +336,15 @@
 		holder := serve(b, query(6000, "rules", "dossier", "own1"))
 		busy := state(holder.Target(), 1)
 		busy.Pending = 4000 // 125 ms
-		b.Hear(busy)
+		b.UpdateState(busy)
 		short := b.Choose(query(6000, "rules", "dossier", "own2"))
-		short.End(mtboard.Left{})
+		short.End(mtboard.Abandoned{})
 		g.Expect(short.Target()).To(Equal(holder.Target()))
 		busy.Pending = 16_000 // 500 ms
-		b.Hear(busy)
+		b.UpdateState(busy)
 		long := b.Choose(query(6000, "rules", "dossier", "own3"))
-		long.End(mtboard.Left{})
+		long.End(mtboard.Abandoned{})
 		g.Expect(long.Target()).NotTo(Equal(holder.Target()))
-		g.Expect(long.Fetch()).To(Equal(holder.Address()))
+		g.Expect(long.FetchFrom()).To(Equal(holder.Address()))
 	})
 }
--- a/internal/placement/mtboard/build_test.go
+++ b/internal/placement/mtboard/build_test.go
@@ -27,8 +27,8 @@
 			Models: []*fleetv1.Weights{{Model: "m", Version: 1}}, Born: 1,
 		}
 	}
-	b.List(list, func(*fleetv1.Target) bool { return false })
-	b.Name(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
+	b.UpdateTargets(list, func(*fleetv1.Target) bool { return false })
+	b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
 	return b
 }
 
@@ -45,7 +45,7 @@
 			q.Exclude(c.Target())
 		}
 		g.Expect(got).To(ConsistOf(want))
-		g.Expect(b.Lacks(q)).To(ContainSubstring("of other software versions"))
+		g.Expect(b.UnfitSummary(q)).To(ContainSubstring("of other software versions"))
 	}
 }
 
@@ -58,7 +58,7 @@
 		q.Pin("b")
 		c := b.Choose(q)
 		g.Expect(c.Build()).To(Equal("b"))
-		b.Hear(&fleetv1.State{Target: "e1", Service: "pool", Answers: true, Report: &fleetv1.Report{Born: 2}})
+		b.UpdateState(&fleetv1.State{Target: "e1", Service: "pool", Answers: true, Report: &fleetv1.Report{Born: 2}})
 		g.Expect(b.Choose(q)).To(BeNil())
 		time.Sleep(3 * time.Second)
 		g.Expect(b.Choose(q)).To(BeNil(), "no heartbeat for a while")
@@ -76,7 +76,7 @@
 	}
 	resumed, begun := b.Choose(pinned), b.Choose(free)
 	g.Expect(resumed.Withdrawn()).To(BeFalse())
-	b.Hear(&fleetv1.State{Target: "e1", Service: "pool", Answers: true, Report: &fleetv1.Report{Born: 2}})
+	b.UpdateState(&fleetv1.State{Target: "e1", Service: "pool", Answers: true, Report: &fleetv1.Report{Born: 2}})
 	g.Expect(resumed.Withdrawn()).To(BeTrue())
 	g.Expect(begun.Withdrawn()).To(BeFalse(), "any program of the service may begin a stream")
 }
@@ -91,7 +91,7 @@
 	}
 	c := b.Choose(q)
 	g.Expect(c.Build()).To(Equal("b"))
-	b.Hear(&fleetv1.State{Target: "e1", Service: "pool", Answers: true, Report: &fleetv1.Report{Born: 2}})
+	b.UpdateState(&fleetv1.State{Target: "e1", Service: "pool", Answers: true, Report: &fleetv1.Report{Born: 2}})
 	g.Expect(c.Build()).To(BeEmpty())
 }
 
@@ -114,7 +114,7 @@
 		g := NewWithT(t)
 		first, second := mixedBoard(), mixedBoard()
 		for i := range 4 {
-			first.Hear(state(fmt.Sprint("e", i), 1))
+			first.UpdateState(state(fmt.Sprint("e", i), 1))
 		}
 		list := map[string]*fleetv1.Target{}
 		for i := range 4 {
@@ -123,7 +123,7 @@
 				Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 			}
 		}
-		second.List(list, func(*fleetv1.Target) bool { return false })
+		second.UpdateTargets(list, func(*fleetv1.Target) bool { return false })
 		key := []byte("stream")
 		storing := first.SidecarsOf(key, 2, true, time.Second)
 		lookedUp := second.SidecarsOf(key, 4, false, time.Second)
--- a/internal/placement/mtboard/choice.go
+++ b/internal/placement/mtboard/choice.go
@@ -61,9 +61,9 @@
 // Target returns the chosen target's id.
 func (c *Choice) Target() string { return c.id }
 
-// Expected returns the id that the program at the address must have to run the request. It is
+// ExpectedID returns the id that the program at the address must have to run the request. It is
 // "" for a successor of the listed program, whose id is not known.
-func (c *Choice) Expected() string {
+func (c *Choice) ExpectedID() string {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
 	if c.record.hasSuccessor() {
@@ -102,13 +102,13 @@
 // Salt returns the salt that separates the request's cached parts from others.
 func (c *Choice) Salt() string { return c.salt }
 
-// Fetch returns the address to fetch cached parts from, or "".
-func (c *Choice) Fetch() string { return c.fetch }
+// FetchFrom returns the address to fetch cached parts from, or "".
+func (c *Choice) FetchFrom() string { return c.fetch }
 
-// Save returns the address of the store that the parts are to be sent to once they are
+// SaveTo returns the address of the store that the parts are to be sent to once they are
 // prefilled, or "". They are saved if neither the target with its fetch source nor the store is
 // known to hold all shared ones, and if the store's link is not too busy for a fetch to pay off.
-func (c *Choice) Save() string {
+func (c *Choice) SaveTo() string {
 	if !c.saveToStore {
 		return ""
 	}
@@ -125,22 +125,22 @@
 // Estimate returns the expected time to the first byte.
 func (c *Choice) Estimate() time.Duration { return c.expected }
 
-// Known reports whether the estimate rests on measured answers of the service's
+// EstimateReliable reports whether the estimate rests on measured answers of the service's
 // engines.
-func (c *Choice) Known() bool {
+func (c *Choice) EstimateReliable() bool {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
 	return c.speed.Known()
 }
 
-// Wait returns the part of the estimate spent queued behind other prompts.
-func (c *Choice) Wait() time.Duration { return c.wait }
+// QueueTime returns the part of the estimate spent queued behind other prompts.
+func (c *Choice) QueueTime() time.Duration { return c.wait }
 
-// Reading returns the part of the estimate for the tokens that the target has to prefill.
-func (c *Choice) Reading() time.Duration { return c.breakdown[itemPrefill] }
+// PrefillTime returns the part of the estimate for the tokens that the target has to prefill.
+func (c *Choice) PrefillTime() time.Duration { return c.breakdown[itemPrefill] }
 
-// Fetching returns the part of the estimate for the tokens that the target has to fetch.
-func (c *Choice) Fetching() time.Duration { return c.breakdown[itemFetch] }
+// FetchTime returns the part of the estimate for the tokens that the target has to fetch.
+func (c *Choice) FetchTime() time.Duration { return c.breakdown[itemFetch] }
 
 // Matched returns how many tokens of the prompt the target is believed to have cached.
 func (c *Choice) Matched() int64 { return c.matched }
@@ -148,16 +148,16 @@
 // Fetched returns how many further tokens the fetch source is believed to have cached.
 func (c *Choice) Fetched() int64 { return c.fetched }
 
-// Burdens reports whether the target has so much to prefill that the other entries should be
+// LargePrefill reports whether the target has so much to prefill that the other entries should be
 // told.
-func (c *Choice) Burdens() bool { return c.prefillTokens >= minLargePrefill }
+func (c *Choice) LargePrefill() bool { return c.prefillTokens >= minLargePrefill }
 
 // minLargePrefill is about 20 ms of an engine's prefill.
 const minLargePrefill = 600
 
-// How returns how the target gets the prompt's shared parts: "held", "fetched" or "read"
+// CacheUse returns how the target gets the prompt's shared parts: "held", "fetched" or "read"
 // (that is, prefilled); "plain" for a service without model engines.
-func (c *Choice) How() string {
+func (c *Choice) CacheUse() string {
 	switch shared := c.query.sharedTokens(); {
 	case c.salt == "":
 		return "plain"
@@ -212,7 +212,7 @@
 	if c.salt != "" {
 		c.board.holders.Note(c.salt, c.id, c.query.ask.GetParts())
 	}
-	if c.Save() != "" {
+	if c.SaveTo() != "" {
 		c.board.holders.Keep(c.salt, c.query.store, c.query.shared())
 	}
 }
@@ -226,9 +226,9 @@
 	return id, c.board.departures.Add(id, born)
 }
 
-// Answerer returns the target whose program gave the answer, as another program may answer at
+// Responder returns the target whose program gave the answer, as another program may answer at
 // the address, and the start of that program in Unix milliseconds, 0 if unknown.
-func (c *Choice) Answerer(answer *fleetv1.Answer) (string, int64) {
+func (c *Choice) Responder(answer *fleetv1.Answer) (string, int64) {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
 	return c.responder(answer)
@@ -276,18 +276,18 @@
 	c.markPrefilled()
 	c.record.running--
 	switch o := outcome.(type) {
-	case Good:
+	case Succeeded:
 		c.record.failures.recordSuccess()
 		if hadStarted {
 			c.speed.Answered(time.Since(c.firstByteAt))
 		}
-	case Unreached:
+	case Unreachable:
 		c.record.failures.recordUnreachable()
-	case Broken:
+	case Failed:
 		c.record.failures.recordFailure()
 	case Rejected:
 		c.handleRejection(o.Answer)
-	case Left:
+	case Abandoned:
 	}
 }
 
@@ -324,25 +324,25 @@
 // Outcome is the result of a send.
 type Outcome interface{ outcome() }
 
-// Good is a complete answer.
-type Good struct{}
+// Succeeded is a complete answer.
+type Succeeded struct{}
 
-// Unreached is a target to which nothing could be sent.
-type Unreached struct{}
+// Unreachable is a target to which nothing could be sent.
+type Unreachable struct{}
 
-// Broken is a target that failed the request or broke off its answer.
-type Broken struct{}
+// Failed is a target that failed the request or broke off its answer.
+type Failed struct{}
 
 // Rejected is a target's answer that it did not run the request.
 type Rejected struct{ Answer *fleetv1.Answer }
 
-// Left is a send ended by the caller or the deadline. It says nothing about the target.
-type Left struct{}
+// Abandoned is a send ended by the caller or the deadline. It says nothing about the target.
+type Abandoned struct{}
 
-func (Good) outcome()      {}
-func (Unreached) outcome() {}
-func (Broken) outcome()    {}
-func (Rejected) outcome()  {}
-func (Left) outcome()      {}
+func (Succeeded) outcome()   {}
+func (Unreachable) outcome() {}
+func (Failed) outcome()      {}
+func (Rejected) outcome()    {}
+func (Abandoned) outcome()   {}
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
--- a/internal/placement/mtboard/delay_test.go
+++ b/internal/placement/mtboard/delay_test.go
@@ -18,7 +18,7 @@
 	restartEngines(b, born)
 	c := b.Choose(query(6000, parts...))
 	c.Started(&fleetv1.Answer{})
-	c.End(mtboard.Good{})
+	c.End(mtboard.Succeeded{})
 	restartEngines(b, born+1)
 }
 
@@ -27,7 +27,7 @@
 	for i := range 2 {
 		restarted := state(fmt.Sprint("e", i), 1)
 		restarted.Report.Born = born
-		b.Hear(restarted)
+		b.UpdateState(restarted)
 	}
 }
 
@@ -37,7 +37,7 @@
 	c := b.Choose(query(6000, parts...))
 	time.Sleep(c.Estimate() + delay)
 	c.Started(&fleetv1.Answer{})
-	c.End(mtboard.Good{})
+	c.End(mtboard.Succeeded{})
 	return c
 }
 
@@ -53,13 +53,13 @@
 			fetchParts(b, 1500*time.Millisecond, "rules", fmt.Sprint("dossier", i), "next")
 		}
 		cold := b.Choose(query(6000, "other rules", "other dossier", "own"))
-		g.Expect(cold.Save()).To(BeEmpty())
-		g.Expect(cold.Fetch()).To(BeEmpty())
-		cold.End(mtboard.Left{})
+		g.Expect(cold.SaveTo()).To(BeEmpty())
+		g.Expect(cold.FetchFrom()).To(BeEmpty())
+		cold.End(mtboard.Abandoned{})
 		time.Sleep(10 * time.Second)
 		later := b.Choose(query(6000, "third rules", "third dossier", "own"))
-		g.Expect(later.Save()).To(Equal("store:1"))
-		g.Expect(later.Fetch()).To(Equal("store:1"), "the store may hold parts that this entry does not know of")
+		g.Expect(later.SaveTo()).To(Equal("store:1"))
+		g.Expect(later.FetchFrom()).To(Equal("store:1"), "the store may hold parts that this entry does not know of")
 	})
 }
 
@@ -72,11 +72,11 @@
 		b := board(2)
 		storeParts(b, 2, "rules", "dossier", "own")
 		missed := fetchParts(b, 120*time.Millisecond, "rules", "dossier", "next")
-		g.Expect(missed.How()).To(Equal("fetched"))
+		g.Expect(missed.CacheUse()).To(Equal("fetched"))
 		restartEngines(b, 9)
 		after := b.Choose(query(6000, "rules", "dossier", "third"))
-		g.Expect(after.How()).To(Equal("read"))
-		g.Expect(after.Save()).To(Equal("store:1"))
+		g.Expect(after.CacheUse()).To(Equal("read"))
+		g.Expect(after.SaveTo()).To(Equal("store:1"))
 	})
 }
 
@@ -86,14 +86,14 @@
 func TestEstimatesAreReliableAfterAnswers(t *testing.T) {
 	g := NewWithT(t)
 	newEntry, oldEntry := board(2), board(2)
-	g.Expect(newEntry.Choose(query(600, "q", "own")).Known()).To(BeFalse())
+	g.Expect(newEntry.Choose(query(600, "q", "own")).EstimateReliable()).To(BeFalse())
 	for i := range 40 {
 		c := oldEntry.Choose(query(600, fmt.Sprint("q", i), "own"))
 		c.Started(&fleetv1.Answer{})
-		c.End(mtboard.Good{})
+		c.End(mtboard.Succeeded{})
 	}
-	g.Expect(oldEntry.Choose(query(600, "q", "own")).Known()).To(BeTrue())
+	g.Expect(oldEntry.Choose(query(600, "q", "own")).EstimateReliable()).To(BeTrue())
 	g.Expect(oldEntry.Speeds()).To(HaveLen(1))
 	g.Expect(newEntry.Adopt(oldEntry.Speeds()[0])).To(BeTrue())
-	g.Expect(newEntry.Choose(query(600, "q", "own")).Known()).To(BeTrue())
+	g.Expect(newEntry.Choose(query(600, "q", "own")).EstimateReliable()).To(BeTrue())
 }
--- a/internal/placement/mtboard/plain_test.go
+++ b/internal/placement/mtboard/plain_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := mtboard.New("north", gracePeriod, mtlimiter.New("", mtlimit.New()))
-		b.List(map[string]*fleetv1.Target{
+		b.UpdateTargets(map[string]*fleetv1.Target{
 			"a": {Id: "a", Service: "app", Address: "10.0.0.1:80", Datacentre: "north", Slots: 6},
 			"b": {Id: "b", Service: "app", Address: "10.0.0.2:80", Datacentre: "north", Slots: 6},
 		}, func(*fleetv1.Target) bool { return false })
@@ -34,7 +34,7 @@
 		serve := func(c *mtboard.Choice, pace int32) string {
 			time.Sleep(20 * time.Millisecond)
 			c.Started(&fleetv1.Answer{Slots: 6, Pace: pace})
-			c.End(mtboard.Good{})
+			c.End(mtboard.Succeeded{})
 			return c.Target()
 		}
 		for range 200 {
--- a/internal/placement/mtboard/query.go
+++ b/internal/placement/mtboard/query.go
@@ -38,9 +38,9 @@
 // defaultAim is the aim of a route that sets none.
 const defaultAim = 500 * time.Millisecond
 
-// Home returns the id of the part by which a request is assigned to a target and a store:
+// HomePartID returns the id of the part by which a request is assigned to a target and a store:
 // its deepest shared one, "" if it has none.
-func Home(ask *fleetv1.Ask) string { return deepest(ask).GetId() }
+func HomePartID(ask *fleetv1.Ask) string { return deepest(ask).GetId() }
 
 // deepest returns the last of a prompt's shared parts, nil if it has none.
 func deepest(ask *fleetv1.Ask) *fleetv1.Part {
@@ -112,8 +112,8 @@
 	return parts[:slices.Index(parts, part)+1]
 }
 
-// Parts returns the ids of the parts that other requests may have too.
-func (q *Query) Parts() []string {
+// SharedParts returns the ids of the parts that other requests may have too.
+func (q *Query) SharedParts() []string {
 	var ids []string
 	for _, part := range q.shared() {
 		ids = append(ids, part.GetId())
--- a/internal/placement/mtboard/seek.go
+++ b/internal/placement/mtboard/seek.go
@@ -62,11 +62,11 @@
 	return !slices.ContainsFunc(b.services[service], func(r *record) bool { return !r.followed })
 }
 
-// Keepers returns the engines whose sidecars store the holders of a part of the prompt,
+// DirectorySidecars returns the engines whose sidecars store the holders of a part of the prompt,
 // the preferred first. They are selected by rendezvous hashing over the list of targets, so that
 // all entries agree; sidecars that do not answer are passed over for a while. It returns none if
 // no sidecar is heard from at all. round is the heartbeat interval in the entry's data centre.
-func (b *Board) Keepers(q *Query, part *fleetv1.Part, round time.Duration) []*fleetv1.Target {
+func (b *Board) DirectorySidecars(q *Query, part *fleetv1.Part, round time.Duration) []*fleetv1.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	type ranked struct {
@@ -149,9 +149,9 @@
 	return salts
 }
 
-// Sought records the holders found for a part of the prompt; they hold the parts before it
+// AddHolders records the holders found for a part of the prompt; they hold the parts before it
 // too.
-func (b *Board) Sought(q *Query, part *fleetv1.Part, holders []*fleetv1.Holder) {
+func (b *Board) AddHolders(q *Query, part *fleetv1.Part, holders []*fleetv1.Holder) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, holder := range holders {
@@ -167,10 +167,10 @@
 	}
 }
 
-// Holders returns up to limit holders that were found and whose state is not current,
+// UnconfirmedHolders returns up to limit holders that were found and whose state is not current,
 // those of the entry's data centre first. Those that hold only the prompt's first part are
 // returned if no other was found.
-func (b *Board) Holders(q *Query, limit int) []*fleetv1.Target {
+func (b *Board) UnconfirmedHolders(q *Query, limit int) []*fleetv1.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	found := q.fullHolders
@@ -192,7 +192,7 @@
 	return near[:min(limit, len(near))]
 }
 
-// Answered records which of the prompt's shared parts an engine holds.
-func (b *Board) Answered(q *Query, target string, salts []string, found []*fleetv1.Held) {
-	b.holders.Answer(target, salts, q.Parts(), found)
+// RecordHeld records which of the prompt's shared parts an engine holds.
+func (b *Board) RecordHeld(q *Query, target string, salts []string, found []*fleetv1.Held) {
+	b.holders.Answer(target, salts, q.SharedParts(), found)
 }
--- a/internal/placement/mtboard/seek_bench_test.go
+++ b/internal/placement/mtboard/seek_bench_test.go
@@ -23,9 +23,9 @@
 					Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 				}
 			}
-			board.List(list, func(*fleetv1.Target) bool { return false })
+			board.UpdateTargets(list, func(*fleetv1.Target) bool { return false })
 			for id := range list {
-				board.Hear(state(id, 1))
+				board.UpdateState(state(id, 1))
 			}
 			stream := []byte("0123456789abcdef")
 			for b.Loop() {
--- a/internal/placement/mtboard/seek_test.go
+++ b/internal/placement/mtboard/seek_test.go
@@ -22,7 +22,7 @@
 func directoriesWithInterval(b *mtboard.Board, q *mtboard.Query, interval time.Duration) []string {
 	parts := q.Ask().GetParts()
 	var names []string
-	for _, target := range b.Keepers(q, parts[len(parts)-2], interval) {
+	for _, target := range b.DirectorySidecars(q, parts[len(parts)-2], interval) {
 		names = append(names, target.GetId())
 	}
 	return names
@@ -39,10 +39,10 @@
 		for i := range engines {
 			name := fmt.Sprint("e", i)
 			if i%2 == 0 || i%3 == 0 {
-				first.Hear(state(name, 1))
+				first.UpdateState(state(name, 1))
 			}
 			if i%2 == 0 || i%3 == 1 {
-				second.Hear(state(name, 1))
+				second.UpdateState(state(name, 1))
 			}
 		}
 		for i := range 50 {
@@ -62,13 +62,13 @@
 		const engines = 40
 		b := board(engines)
 		for i := range engines {
-			b.Hear(state(fmt.Sprint("e", i), 1))
+			b.UpdateState(state(fmt.Sprint("e", i), 1))
 		}
 		q := query(6000, "rules", "own")
 		before := directoriesWithInterval(b, q, interval)
 		// One heartbeat of each sidecar is lost.
 		time.Sleep(2 * interval)
-		b.Hear(state("e0", 1))
+		b.UpdateState(state("e0", 1))
 		g.Expect(directoriesWithInterval(b, q, interval)).To(Equal(before))
 	})
 }
@@ -78,19 +78,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(40)
-		b.Hear(state("e0", 1))
+		b.UpdateState(state("e0", 1))
 		q := query(6000, "rules", "own")
 		before := directories(b, q)
 		for attempt := range 5 {
-			b.Silent(q, before[0])
+			b.ProbeFailed(q, before[0])
 			g.Expect(directories(b, q)).NotTo(ContainElement(before[0]))
 			time.Sleep(min(8*time.Second, 500*time.Millisecond<<attempt) - time.Millisecond)
-			b.Hear(state("e0", 1))
+			b.UpdateState(state("e0", 1))
 			g.Expect(directories(b, q)).NotTo(ContainElement(before[0]), "the backoff grows with each unanswered lookup")
 			time.Sleep(2 * time.Millisecond)
 			g.Expect(directories(b, q)).To(ContainElement(before[0]))
 		}
-		b.Hear(state(before[0], 1))
+		b.UpdateState(state(before[0], 1))
 		g.Expect(directories(b, q)).To(Equal(before))
 	})
 }
@@ -113,6 +113,6 @@
 	g.Expect(b.Lookups(newQuery())).To(ConsistOf(ask.GetParts()[0], ask.GetParts()[1]))
 	choice := b.Choose(newQuery())
 	choice.Started(&fleetv1.Answer{})
-	choice.End(mtboard.Good{})
+	choice.End(mtboard.Succeeded{})
 	g.Expect(b.Lookups(newQuery())).To(Equal(ask.GetParts()[1:2]), "the entry knows which engine has just prefilled the part")
 }
--- a/internal/placement/mtboard/successor_test.go
+++ b/internal/placement/mtboard/successor_test.go
@@ -33,16 +33,16 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := mtboard.New("north", gracePeriod, mtlimiter.New("", mtlimit.New()))
-				b.List(map[string]*fleetv1.Target{"e0": {
+				b.UpdateTargets(map[string]*fleetv1.Target{"e0": {
 					Id: "e0", Service: "pool", Address: "10.0.0.1:80", Datacentre: "north", Slots: 8, Born: c.listed,
 					Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 				}}, func(*fleetv1.Target) bool { return false })
-				b.Name(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
+				b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
 				heartbeat := state("e0", 1)
 				heartbeat.Report.Born, heartbeat.Service = c.born, c.service
-				b.Hear(heartbeat)
+				b.UpdateState(heartbeat)
 				time.Sleep(c.wait)
-				NewWithT(t).Expect(b.Choose(query(100, "rules", "own")).Expected()).To(Equal(c.expected))
+				NewWithT(t).Expect(b.Choose(query(100, "rules", "own")).ExpectedID()).To(Equal(c.expected))
 			})
 		})
 	}
@@ -57,13 +57,13 @@
 	choice := b.Choose(query(100, "rules", "own"))
 	choice.End(mtboard.Rejected{Answer: &fleetv1.Answer{Refused: true, Target: "other"}})
 	g.Expect(b.Choose(query(100, "rules", "own"))).To(BeNil())
-	b.List(map[string]*fleetv1.Target{"e0": {
+	b.UpdateTargets(map[string]*fleetv1.Target{"e0": {
 		Id: "e0", Service: "pool", Address: "10.0.0.0:80", Datacentre: "north", Slots: 8, Born: 1,
 		Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 	}}, func(*fleetv1.Target) bool { return false })
 	g.Expect(b.Choose(query(100, "rules", "own"))).To(BeNil())
 	heartbeat := state("e0", 1)
 	heartbeat.Report.Born, heartbeat.Service = 2, "pool"
-	b.Hear(heartbeat)
-	g.Expect(b.Choose(query(100, "rules", "own")).Expected()).To(BeEmpty())
+	b.UpdateState(heartbeat)
+	g.Expect(b.Choose(query(100, "rules", "own")).ExpectedID()).To(BeEmpty())
 }
--- a/internal/placement/mtboard/turns.go
+++ b/internal/placement/mtboard/turns.go
@@ -23,8 +23,8 @@
 	byGroup   map[string]*mtturns.Turns
 }
 
-// Whole reports whether there is one queue for the whole fleet.
-func (q *Queues) Whole() bool { return q.fleetWide }
+// FleetWide reports whether there is one queue for the whole fleet.
+func (q *Queues) FleetWide() bool { return q.fleetWide }
 
 // Of returns an engine's position in its queue.
 func (q *Queues) Of(target *fleetv1.Target) *fleetv1.Turn {
--- a/internal/placement/mtboard/turns_test.go
+++ b/internal/placement/mtboard/turns_test.go
@@ -18,12 +18,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := board(engines)
-		b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
 		const north, south = 0, 1
 		datacentres := []string{"north", "south"}
 		report := func(datacentre int) {
 			for i := datacentre; i < engines; i += 2 {
-				b.Hear(state(fmt.Sprint("e", i), 1))
+				b.UpdateState(state(fmt.Sprint("e", i), 1))
 			}
 		}
 		expect := func(datacentre, queue int) {
@@ -43,11 +43,11 @@
 		expect(south, engines/2)
 		// Engines whose heartbeat is later than that are removed and do not block the others.
 		time.Sleep(near)
-		b.Hear(state("e0", 1))
+		b.UpdateState(state("e0", 1))
 		expect(north, 1)
 		expect(south, engines/2)
 		time.Sleep(far / 2)
-		b.Hear(state("e1", 1))
+		b.UpdateState(state("e1", 1))
 		expect(south, 1)
 	})
 }
@@ -59,10 +59,10 @@
 		g := NewWithT(t)
 		b := board(4)
 		g.Expect(b.Outdated(pool)).To(BeEmpty())
-		b.Name(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
+		b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2})
 		g.Expect(b.Outdated(pool)).To(HaveLen(4))
-		b.Hear(state("e0", 2))
-		b.Hear(state("e1", 1))
+		b.UpdateState(state("e0", 2))
+		b.UpdateState(state("e1", 1))
 		var ids []string
 		for _, target := range b.Outdated(pool) {
 			ids = append(ids, target.GetId())
--- a/internal/placement/mtboard/why.go
+++ b/internal/placement/mtboard/why.go
@@ -79,9 +79,9 @@
 // Unfit describes how many of the service's targets were not considered, and why; "" if all were.
 func (c *Choice) Unfit() string { return c.unfit.String() }
 
-// Lacks describes why no target could be chosen: how many of the service's targets are
+// UnfitSummary describes why no target could be chosen: how many of the service's targets are
 // known, and why they are unfit.
-func (b *Board) Lacks(q *Query) string {
+func (b *Board) UnfitSummary(q *Query) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all unfit
--- a/internal/placement/mtboard/why_test.go
+++ b/internal/placement/mtboard/why_test.go
@@ -26,21 +26,21 @@
 		} {
 			s := state(target, 1)
 			change(&s.Pending, &s.Ordering, &s.Answers)
-			b.Hear(s)
+			b.UpdateState(s)
 		}
 		choice := b.Choose(query(640, "a", "b"))
 		g.Expect(choice.Target()).To(Equal("e0"))
-		g.Expect(choice.Losers()).To(MatchRegexp(
+		g.Expect(choice.RunnersUp()).To(MatchRegexp(
 			`^e1 \d+ms \(other data centre \+80ms\), ` +
 				`e2 \d+ms \(prompts waiting \+625ms\), e3 \d+ms \(prompts waiting \+937ms\)$`))
 		g.Expect(choice.Unfit()).To(Equal("1 silent, 1 loading weights"))
-		choice.End(mtboard.Left{})
+		choice.End(mtboard.Abandoned{})
 
 		exhausted := query(640, "a", "b")
 		for _, target := range []string{"e0", "e1", "e2", "e3"} {
 			exhausted.Exclude(target)
 		}
 		g.Expect(b.Choose(exhausted)).To(BeNil())
-		g.Expect(b.Lacks(exhausted)).To(Equal("6 known: 4 tried, 1 silent, 1 loading weights"))
+		g.Expect(b.UnfitSummary(exhausted)).To(Equal("6 known: 4 tried, 1 silent, 1 loading weights"))
 	})
 }
--- a/internal/placement/mtboard/without.go
+++ b/internal/placement/mtboard/without.go
@@ -32,9 +32,9 @@
 	"faults":   itemFaults,
 }
 
-// Without switches off mechanisms for all later choices. It is for development only. An error
+// Disable switches off mechanisms for all later choices. It is for development only. An error
 // names the mechanisms that can be disabled.
-func (b *Board) Without(names ...string) error {
+func (b *Board) Disable(names ...string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	flags := map[string]*bool{
--- a/internal/placement/mtboard/without_test.go
+++ b/internal/placement/mtboard/without_test.go
@@ -11,11 +11,11 @@
 func TestDisabledMechanismsAreNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	b := board(12)
-	err := b.Without("copy")
+	err := b.Disable("copy")
 	g.Expect(err).To(MatchError(And(ContainSubstring(`"copy"`), ContainSubstring("copies"), ContainSubstring("store"))))
-	g.Expect(b.Without("distance", "store")).To(Succeed())
+	g.Expect(b.Disable("distance", "store")).To(Succeed())
 	c := b.Choose(query(9000, "rules", "dossier", "own"))
-	g.Expect(c.Losers()).NotTo(ContainSubstring("data centre"))
-	g.Expect(c.Save()).To(BeEmpty())
-	g.Expect(c.Fetch()).To(BeEmpty())
+	g.Expect(c.RunnersUp()).NotTo(ContainSubstring("data centre"))
+	g.Expect(c.SaveTo()).To(BeEmpty())
+	g.Expect(c.FetchFrom()).To(BeEmpty())
 }
--- a/internal/placement/mtdirectory/directory_test.go
+++ b/internal/placement/mtdirectory/directory_test.go
@@ -58,8 +58,8 @@
 // board is that of an entry in a data centre.
 func (f *fleet) board(place string) *mtboard.Board {
 	b := mtboard.New(place, 8*time.Second, mtlimiter.New("", mtlimit.New()))
-	b.List(f.list, func(*fleetv1.Target) bool { return false })
-	b.Name(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
+	b.UpdateTargets(f.list, func(*fleetv1.Target) bool { return false })
+	b.MergeWeights(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
 	return b
 }
 
@@ -74,7 +74,7 @@
 func (f *fleet) greetFrom(b *mtboard.Board, place string) {
 	for _, target := range f.targets {
 		if !f.gone[target.GetId()] && (place == "" || target.GetDatacentre() == place) {
-			b.Hear(&fleetv1.State{Target: target.GetId(), Answers: true, Report: &fleetv1.Report{
+			b.UpdateState(&fleetv1.State{Target: target.GetId(), Answers: true, Report: &fleetv1.Report{
 				Models: []*fleetv1.Weights{{Model: "m", Version: 1}}, Total: 70000, Born: 1,
 			}})
 		}
@@ -93,17 +93,17 @@
 // ask lets an entry hear a sidecar's answer.
 func (f *fleet) ask(b *mtboard.Board, q *mtboard.Query, target *fleetv1.Target) {
 	if f.gone[target.GetId()] {
-		b.Silent(q, target.GetId())
+		b.ProbeFailed(q, target.GetId())
 		return
 	}
 	var found []*fleetv1.Held
 	salts := b.Salts(q)
-	for _, part := range q.Parts() {
+	for _, part := range q.SharedParts() {
 		if tokens := f.held[f.number(target.GetId())][part]; tokens > 0 {
 			found = append(found, &fleetv1.Held{Salt: salts[0], Part: part, Tokens: tokens})
 		}
 	}
-	b.Answered(q, target.GetId(), salts, found)
+	b.RecordHeld(q, target.GetId(), salts, found)
 }
 
 // send lets an entry serve one prompt, and returns the shared tokens that are read
@@ -121,7 +121,7 @@
 		kept := f.held[engine][part.GetId()] > 0
 		fetched := false
 		for i, held := range f.held {
-			fetched = fetched || f.targets[i].GetAddress() == choice.Fetch() && held[part.GetId()] > 0
+			fetched = fetched || f.targets[i].GetAddress() == choice.FetchFrom() && held[part.GetId()] > 0
 		}
 		for _, held := range f.held {
 			if !kept && !fetched && held[part.GetId()] > 0 {
@@ -132,7 +132,7 @@
 		f.held[engine][part.GetId()] = part.GetTokens()
 	}
 	choice.Started(&fleetv1.Answer{})
-	choice.End(mtboard.Good{})
+	choice.End(mtboard.Succeeded{})
 	if directory {
 		f.notify(b, q, choice)
 	}
@@ -142,16 +142,16 @@
 // lookUp lets an entry hear who holds a prompt's parts.
 func (f *fleet) lookUp(b *mtboard.Board, q *mtboard.Query) {
 	for _, part := range b.Lookups(q) {
-		for _, keeper := range b.Keepers(q, part, time.Second) {
+		for _, keeper := range b.DirectorySidecars(q, part, time.Second) {
 			if f.gone[keeper.GetId()] {
-				b.Silent(q, keeper.GetId())
+				b.ProbeFailed(q, keeper.GetId())
 				continue
 			}
 			seek := &fleetv1.Seek{Salts: b.Salts(q), Part: part.GetId()}
-			b.Sought(q, part, f.directories[f.number(keeper.GetId())].Answer(seek).GetHolders())
+			b.AddHolders(q, part, f.directories[f.number(keeper.GetId())].Answer(seek).GetHolders())
 		}
 	}
-	for _, target := range b.Holders(q, 3) {
+	for _, target := range b.UnconfirmedHolders(q, 3) {
 		f.ask(b, q, target)
 	}
 }
@@ -159,7 +159,7 @@
 // notify tells the keepers of a prompt's parts which engine has read them.
 func (f *fleet) notify(b *mtboard.Board, q *mtboard.Query, choice *mtboard.Choice) {
 	for _, part := range b.Lookups(q) {
-		for _, target := range b.Keepers(q, part, time.Second) {
+		for _, target := range b.DirectorySidecars(q, part, time.Second) {
 			if !f.gone[target.GetId()] {
 				f.directories[f.number(target.GetId())].Take(&fleetv1.Notice{
 					Target: choice.Target(), Salt: choice.Salt(), Parts: []*fleetv1.Part{part}, Read: true,
--- a/internal/relay/mtfront/ask.go
+++ b/internal/relay/mtfront/ask.go
@@ -99,8 +99,8 @@
 func (f *Front) consult(ctx context.Context, query *mtboard.Query) {
 	lookups := f.board.Lookups(query)
 	for range askRounds {
-		targets := f.board.Doubtful(query, askMost)
-		for _, holder := range f.board.Holders(query, holdersMost) {
+		targets := f.board.ProbeCandidates(query, askMost)
+		for _, holder := range f.board.UnconfirmedHolders(query, holdersMost) {
 			if !slices.ContainsFunc(targets, func(t *fleetv1.Target) bool { return t.GetId() == holder.GetId() }) {
 				targets = append(targets, holder)
 			}
@@ -152,8 +152,8 @@
 	}
 	asked.number = f.questions.begin(asked)
 	for _, target := range targets {
-		hello := &fleetv1.Hello{Entry: f.site.GetName(), Target: target.GetId(), Ask: asked.number, Salts: salts, Parts: query.Parts()}
-		f.board.Fill(hello)
+		hello := &fleetv1.Hello{Entry: f.site.GetName(), Target: target.GetId(), Ask: asked.number, Salts: salts, Parts: query.SharedParts()}
+		f.board.FillHello(hello)
 		f.hello(mtports.SidecarWords.At(f.site, target.GetAddress()), hello)
 	}
 	f.trail.Metrics().Add("sidecars_asked_total", int64(len(targets)))
@@ -183,7 +183,7 @@
 	f.trail.Metrics().Add("sidecars_silent_total", int64(len(silent)))
 	for name := range silent {
 		if target, ok := asked.sidecars[name]; ok {
-			f.board.Silent(asked.query, target)
+			f.board.ProbeFailed(asked.query, target)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 	if asked == nil {
 		return
 	}
-	f.board.Answered(asked.query, state.GetTarget(), asked.salts, state.GetFound())
+	f.board.RecordHeld(asked.query, state.GetTarget(), asked.salts, state.GetFound())
 	f.questions.answered(asked, state.GetTarget())
 }
 
@@ -204,6 +204,6 @@
 	if asked == nil {
 		return
 	}
-	f.board.Sought(asked.query, asked.part, sought.GetHolders())
+	f.board.AddHolders(asked.query, asked.part, sought.GetHolders())
 	f.questions.answered(asked, from)
 }
--- a/internal/relay/mtfront/deliver.go
+++ b/internal/relay/mtfront/deliver.go
@@ -33,13 +33,13 @@
 	success := response.StatusCode < http.StatusMultipleChoices
 	if success && !answer.GetSealed() {
 		link.Close()
-		choice.End(mtboard.Broken{})
+		choice.End(mtboard.Failed{})
 		return broken{why: "a success without the target's seal"}
 	}
 	if r.delivered != nil && !success {
 		drain(response)
 		link.Release(answer.GetIdle().AsDuration())
-		choice.End(mtboard.Broken{})
+		choice.End(mtboard.Failed{})
 		return broken{why: "the resumed stream got " + response.Status}
 	}
 	streams := r.route.GetRepeat() == fleetv1.Repeat_REPEAT_STREAM && success && r.hasBody(response)
@@ -71,7 +71,7 @@
 		return r.lost(ctx, choice, link, err)
 	}
 	if failedByTarget(response) {
-		choice.End(mtboard.Broken{})
+		choice.End(mtboard.Failed{})
 		if r.route.GetRepeat() == fleetv1.Repeat_REPEAT_SAFE && r.tries < int(r.route.GetAttempts()) &&
 			r.front.allowance(r.service.GetName()).Remaining(r.front.entries()) >= 1 {
 			link.Release(answer.GetIdle().AsDuration())
@@ -96,7 +96,7 @@
 	if err != nil {
 		return r.cut(ctx, choice, link, err)
 	}
-	choice.End(mtboard.Good{})
+	choice.End(mtboard.Succeeded{})
 	link.Release(answer.GetIdle().AsDuration())
 	r.done(response.StatusCode, choice, size)
 	return answered{}
--- a/internal/relay/mtfront/digest.go
+++ b/internal/relay/mtfront/digest.go
@@ -77,7 +77,7 @@
 	view := f.roster.View()
 	digest := &fleetv1.Digest{
 		Entry: f.site.GetName(), Datacentre: f.site.GetDatacentre(), Targets: view.Settled(), Sum: view.Sum(),
-		Suspects: f.recent(), Speeds: f.board.Speeds(), Readers: f.lookForReaders(), Weights: f.board.NamedRevision(),
+		Suspects: f.recent(), Speeds: f.board.Speeds(), Readers: f.lookForReaders(), Weights: f.board.NewestWeightsRevision(),
 		Counts: f.census.Known(), Asks: f.knowsFew(),
 	}
 	if catalog := f.catalog.Load(); catalog != nil {
@@ -90,7 +90,7 @@
 	digest.Limits = f.limits.Recent(maxLimits)
 	digest.Custody, digest.Away = f.standbys.version(), f.away.Load() > 0
 	if f.board.Entries() == 0 {
-		digest.Peers, digest.Named = f.peers.fresh(toldPeers), f.board.Named()
+		digest.Peers, digest.Named = f.peers.fresh(toldPeers), f.board.NewestWeights()
 	}
 	if closing := f.closing.Load(); closing != nil {
 		digest.Left = durationpb.New(max(0, closing.Left(time.Now())))
--- a/internal/relay/mtfront/front.go
+++ b/internal/relay/mtfront/front.go
@@ -175,7 +175,7 @@
 			rest = append(rest, name)
 		}
 	}
-	return trace.Wrap(f.board.Without(rest...), "besides shedding and repeats")
+	return trace.Wrap(f.board.Disable(rest...), "besides shedding and repeats")
 }
 
 // Run follows the store and speaks with the sidecars until ctx ends.
@@ -282,7 +282,7 @@
 		}
 		return 0
 	})
-	set.Gauge("weights_named_age_ms", func() int64 { return f.board.NamedAge().Milliseconds() })
+	set.Gauge("weights_named_age_ms", func() int64 { return f.board.NewestWeightsAge().Milliseconds() })
 }
 
 // histogram returns the histogram of a name, which the request's path keeps.
--- a/internal/relay/mtfront/greet.go
+++ b/internal/relay/mtfront/greet.go
@@ -82,14 +82,14 @@
 	near, far := f.engines(service)
 	nearRound, farRound := f.rounds(len(far))
 	queues := f.board.Queues(service, nearRound, farRound)
-	if !woken || !queues.Whole() {
+	if !woken || !queues.FleetWide() {
 		far = partOf(far, round, roundsFor(len(far)))
 	}
-	if !queues.Whole() {
+	if !queues.FleetWide() {
 		far = append(slices.Clone(far), f.assigned(service, far)...)
 	}
 	speed := f.board.Speed(service.GetName())
-	named := f.board.Named()
+	named := f.board.NewestWeights()
 	for i, engine := range append(near, far...) {
 		away := i >= len(near)
 		hello := &fleetv1.Hello{
@@ -98,13 +98,13 @@
 			Weights: named,
 			Turn:    queues.Of(engine),
 			Asks:    speed == nil,
-			Far:     away && !queues.Whole(),
+			Far:     away && !queues.FleetWide(),
 			Round:   durationpb.New(nearRound),
 		}
 		if away {
 			hello.Speed, hello.Round = speed, durationpb.New(farRound)
 		}
-		f.board.Fill(hello)
+		f.board.FillHello(hello)
 		f.hello(mtports.SidecarWords.At(f.site, engine.GetAddress()), hello)
 	}
 	return len(near) + len(far)
@@ -177,7 +177,7 @@
 // that it was read; the other entries hear of it from the sidecar.
 func (f *Front) burden(target, address string) {
 	hello := &fleetv1.Hello{Entry: f.site.GetName(), Target: target}
-	f.board.Fill(hello)
+	f.board.FillHello(hello)
 	f.hello(mtports.SidecarWords.At(f.site, address), hello)
 }
 
@@ -224,14 +224,14 @@
 
 // hearState takes in a sidecar's state.
 func (f *Front) hearState(from string, state *fleetv1.State) {
-	f.board.Hear(state)
+	f.board.UpdateState(state)
 	if state.GetAsk() != 0 {
 		f.answer(state)
 	}
 	f.peers.see(state.GetPeers(), f.socket.Address())
 	if state.GetMore() {
 		hello := &fleetv1.Hello{Entry: f.site.GetName(), Target: state.GetTarget()}
-		f.board.Fill(hello)
+		f.board.FillHello(hello)
 		f.hello(from, hello)
 	}
 	f.adopt(state.GetSpeed(), "sidecar of "+state.GetTarget())
--- a/internal/relay/mtfront/host.go
+++ b/internal/relay/mtfront/host.go
@@ -9,7 +9,7 @@
 )
 
 // Named implements mtstandby.Host.
-func (s *standbys) Named() []*fleetv1.Weights { return s.front.board.Named() }
+func (s *standbys) Named() []*fleetv1.Weights { return s.front.board.NewestWeights() }
 
 // Turn implements mtstandby.Host.
 func (s *standbys) Turn(target string) *fleetv1.Turn {
@@ -37,7 +37,7 @@
 	may := s.custody.May(address)
 	s.mu.Unlock()
 	// Last, as it looks at all targets: mostly no engine is taken.
-	return may && s.front.board.Spoke(address) >= spokeTime
+	return may && s.front.board.SinceHeartbeat(address) >= spokeTime
 }
 
 // Fence implements mtstandby.Host.
@@ -55,7 +55,7 @@
 // Hear implements mtstandby.Host.
 func (s *standbys) Hear(state *fleetv1.State, news bool) {
 	f := s.front
-	f.board.Hear(state)
+	f.board.UpdateState(state)
 	if news {
 		f.peers.tell(f.words, &fleetv1.Word{Word: &fleetv1.Word_State{State: state}}, maxPeers, f.site.GetDatacentre())
 	}
--- a/internal/relay/mtfront/keeper.go
+++ b/internal/relay/mtfront/keeper.go
@@ -64,7 +64,7 @@
 // keepers are the processes that keep the holders of a part of a prompt.
 func (f *Front) keepers(query *mtboard.Query, part *fleetv1.Part) []keeper {
 	var list []keeper
-	for _, target := range f.board.Keepers(query, part, time.Duration(f.round.Load())) {
+	for _, target := range f.board.DirectorySidecars(query, part, time.Duration(f.round.Load())) {
 		list = append(list, sidecarKeeper{target, mtports.SidecarWords.At(f.site, target.GetAddress())})
 	}
 	if len(list) > 0 {
--- a/internal/relay/mtfront/know.go
+++ b/internal/relay/mtfront/know.go
@@ -200,7 +200,7 @@
 }
 
 // Revision is the greatest of the named weights.
-func (s *weights) Revision() int64 { return s.front.board.NamedRevision() }
+func (s *weights) Revision() int64 { return s.front.board.NewestWeightsRevision() }
 
 // Replace gets the complete list.
 func (s *weights) Replace(list []mtobjects.Change[*fleetv1.Weights], revision int64) {
@@ -235,11 +235,11 @@
 func (s *weights) Back() { s.front.back("weights") }
 
 func (f *Front) named(named *fleetv1.Weights, source string) {
-	if !f.board.Name(named) {
+	if !f.board.MergeWeights(named) {
 		return
 	}
 	f.trail.Say(mtkind.WeightsNamed, zap.String("model", named.GetModel()), zap.Int64("version", named.GetVersion()),
-		zap.Int64("revision", named.GetRevision()), zap.Duration("age", f.board.NamedAge()), zap.String("from", source))
+		zap.Int64("revision", named.GetRevision()), zap.Duration("age", f.board.NewestWeightsAge()), zap.String("from", source))
 	f.digest()
 	f.hurry()
 }
@@ -261,7 +261,7 @@
 // listed takes a changed list over to the board.
 func (f *Front) listed() {
 	view := f.roster.View()
-	f.board.List(view.All(), view.Replaced)
+	f.board.UpdateTargets(view.All(), view.Replaced)
 	f.builds.See(view.All(), view.Complete() > 0)
 	f.digest()
 	f.start.Tell()
--- a/internal/relay/mtfront/learn.go
+++ b/internal/relay/mtfront/learn.go
@@ -114,7 +114,7 @@
 func (f *Front) missesOrders(digest *fleetv1.Digest) bool {
 	catalog := f.catalog.Load()
 	return digest.GetCatalog() > 0 && (catalog == nil || digest.GetCatalog() > catalog.Revision()) ||
-		digest.GetWeights() > f.board.NamedRevision() || digest.GetCustody() > f.standbys.version()
+		digest.GetWeights() > f.board.NewestWeightsRevision() || digest.GetCustody() > f.standbys.version()
 }
 
 // missesTargets says that another entry has a newer list of targets that differs.
@@ -220,7 +220,7 @@
 func (f *Front) Know(_ context.Context, request *connect.Request[fleetv1.KnowRequest]) (*connect.Response[fleetv1.Knowledge], error) {
 	view := f.roster.View()
 	known := &fleetv1.Knowledge{
-		Revision: view.Settled(), Named: f.board.Named(), Speeds: f.board.Speeds(),
+		Revision: view.Settled(), Named: f.board.NewestWeights(), Speeds: f.board.Speeds(),
 		Catalogage: durationpb.New(f.catalogHeard.age()), Targetsage: durationpb.New(f.targetsHeard.age()),
 	}
 	if request.Msg.GetQuotas() {
--- a/internal/relay/mtfront/limit.go
+++ b/internal/relay/mtfront/limit.go
@@ -109,7 +109,7 @@
 
 // observeLimit takes in the limit that an answer names, and tells others of what is new.
 func (r *request) observeLimit(choice *mtboard.Choice, answer *fleetv1.Answer, sent time.Time) {
-	target, born := choice.Answerer(answer)
+	target, born := choice.Responder(answer)
 	if !r.front.limits.Hear(target, born, answer, sent) {
 		return
 	}
--- a/internal/relay/mtfront/namings.go
+++ b/internal/relay/mtfront/namings.go
@@ -37,7 +37,7 @@
 		if !f.first() {
 			continue
 		}
-		if named := f.board.Named(); ledger.Due(named) {
+		if named := f.board.NewestWeights(); ledger.Due(named) {
 			read = f.writeNamings(ctx, ledger, &fleetv1.Namings{Weights: named})
 		}
 	}
@@ -46,7 +46,7 @@
 // needsNamings says that the entry has to know the ages that the store has: it is the one
 // to write them, or weights were named before it could see that.
 func (f *Front) needsNamings() bool {
-	return f.board.NamedRevision() > 0 && (f.first() || f.weightsListed.Load())
+	return f.board.NewestWeightsRevision() > 0 && (f.first() || f.weightsListed.Load())
 }
 
 // readNamings takes in the ages that the store has; it reports whether it answered.
--- a/internal/relay/mtfront/pages.go
+++ b/internal/relay/mtfront/pages.go
@@ -47,7 +47,7 @@
 		return
 	}
 	view := f.roster.View()
-	f.board.List(view.All(), view.Replaced)
+	f.board.UpdateTargets(view.All(), view.Replaced)
 	f.start.Tell()
 }
 
--- a/internal/relay/mtfront/refuse.go
+++ b/internal/relay/mtfront/refuse.go
@@ -75,7 +75,7 @@
 // breakOff ends a stream whose beginning the caller has: closing the connection
 // shows that it is not whole.
 func (r *request) breakOff(why string) {
-	fields := append(r.fields(), zap.String("why", "not resumed: "+why), zap.String("lacks", r.front.board.Lacks(r.query)))
+	fields := append(r.fields(), zap.String("why", "not resumed: "+why), zap.String("lacks", r.front.board.UnfitSummary(r.query)))
 	r.front.trail.Warn(mtkind.RequestFailed, append(fields, r.resumeFields()...)...)
 	r.abort()
 }
--- a/internal/relay/mtfront/send.go
+++ b/internal/relay/mtfront/send.go
@@ -80,7 +80,7 @@
 	choice.Started(answer)
 	r.notify(choice, true)
 	r.front.histogram(`first_byte_seconds{route="` + r.route.GetName() + `"}`).Observe(time.Since(r.begun))
-	r.front.trail.Metrics().Add(`placed_total{how="`+choice.How()+`"}`, 1)
+	r.front.trail.Metrics().Add(`placed_total{how="`+choice.CacheUse()+`"}`, 1)
 	return r.deliver(ctx, choice, link, response, answer)
 }
 
@@ -88,7 +88,7 @@
 // one: nothing was sent.
 func (r *request) connect(ctx context.Context, choice *mtboard.Choice) (*mtlink.Link, result) {
 	if why := r.permit(ctx, choice); why != "" {
-		choice.End(mtboard.Left{})
+		choice.End(mtboard.Abandoned{})
 		return nil, rejected{why: why, withheld: true}
 	}
 	link, result := r.dial(ctx, choice)
@@ -104,13 +104,13 @@
 	r.path.Add(mtlate.Connection, time.Since(chosen))
 	switch {
 	case err != nil && ctx.Err() != nil:
-		choice.End(mtboard.Left{})
+		choice.End(mtboard.Abandoned{})
 	case err != nil:
-		choice.End(mtboard.Unreached{})
+		choice.End(mtboard.Unreachable{})
 		r.unreached++
 	case choice.Withdrawn():
 		link.Close()
-		choice.End(mtboard.Left{})
+		choice.End(mtboard.Abandoned{})
 		r.unreached++
 		return nil, rejected{why: "it wants no more requests since it was chosen", unreached: true}
 	default:
@@ -137,7 +137,7 @@
 
 // worked counts the time that the target took for the first byte.
 func (r *request) worked(choice *mtboard.Choice, took time.Duration) {
-	queue, read, fetch := choice.Wait(), choice.Reading(), choice.Fetching()
+	queue, read, fetch := choice.QueueTime(), choice.PrefillTime(), choice.FetchTime()
 	r.path.Worked(took, queue, read, fetch, max(0, choice.Estimate()-queue-read-fetch))
 }
 
@@ -155,15 +155,15 @@
 func (r *request) dispatch(choice *mtboard.Choice) *fleetv1.Dispatch {
 	d := &fleetv1.Dispatch{
 		Wait:    durationpb.New(time.Until(r.until)),
-		Target:  choice.Expected(),
+		Target:  choice.ExpectedID(),
 		Account: r.account.GetName(),
 	}
 	if choice.Salt() != "" {
 		d.Version = choice.Version()
 		d.Salt = choice.Salt()
-		d.Fetch = choice.Fetch()
+		d.Fetch = choice.FetchFrom()
 		d.Urgency = proto.Int32(mtspeech.Urgency(r.rank()))
-		d.Save = choice.Save()
+		d.Save = choice.SaveTo()
 	}
 	if r.delivered != nil {
 		d.Resume = r.delivered.Last()
@@ -193,10 +193,10 @@
 func (r *request) endBroken(ctx context.Context, choice *mtboard.Choice, link *mtlink.Link) {
 	link.Close()
 	if ctx.Err() != nil {
-		choice.End(mtboard.Left{})
+		choice.End(mtboard.Abandoned{})
 		return
 	}
-	choice.End(mtboard.Broken{})
+	choice.End(mtboard.Failed{})
 	r.broke(choice)
 }
 
@@ -204,7 +204,7 @@
 // target reads, so that others neither let another read it too nor miss whom to fetch
 // it from.
 func (r *request) notify(choice *mtboard.Choice, read bool) {
-	if choice.Burdens() {
+	if choice.LargePrefill() {
 		r.front.burden(choice.Target(), choice.Address())
 	}
 	if choice.Salt() == "" {
@@ -216,7 +216,7 @@
 		}
 		notice := &fleetv1.Notice{Target: choice.Target(), Salt: choice.Salt(), Parts: []*fleetv1.Part{part}, Read: read}
 		if read {
-			notice.Store = choice.Save()
+			notice.Store = choice.SaveTo()
 		}
 		for _, keeper := range r.front.keepers(r.query, part) {
 			keeper.send(r.front, notice)
@@ -233,7 +233,7 @@
 	r.front.trail.Say(mtkind.RequestSent, append(fields,
 		zap.String("target", choice.Target()), zap.String("build", choice.Build()), zap.Int("try", r.tries),
 		zap.Int64("weights", choice.Version()), zap.Duration("behind", choice.Behind()), zap.Int64("prompt", r.ask.GetPrompt()), zap.Int64("output", r.ask.GetOutput()),
-		zap.String("how", choice.How()), zap.Int64("cached", choice.Matched()), zap.String("fetch", choice.Fetch()),
-		zap.Duration("cost", choice.Cost()), zap.String("next", choice.Losers()), zap.String("unfit", choice.Unfit()), zap.Bool("kept", link.Reused()),
+		zap.String("how", choice.CacheUse()), zap.Int64("cached", choice.Matched()), zap.String("fetch", choice.FetchFrom()),
+		zap.Duration("cost", choice.Cost()), zap.String("next", choice.RunnersUp()), zap.String("unfit", choice.Unfit()), zap.Bool("kept", link.Reused()),
 		zap.Int64("configuration", r.front.catalog.Load().Version()))...)
 }
--- a/internal/relay/mtfront/serve.go
+++ b/internal/relay/mtfront/serve.go
@@ -232,7 +232,7 @@
 	defer r.front.streams.end(r)
 	allowance := r.front.allowance(r.service.GetName())
 	allowance.CountRequest()
-	r.query = mtboard.NewQuery(r.service, r.ask, r.account, r.front.catalog.Load().Cache(mtboard.Home(r.ask)), r.route.GetAim().AsDuration())
+	r.query = mtboard.NewQuery(r.service, r.ask, r.account, r.front.catalog.Load().Cache(mtboard.HomePartID(r.ask)), r.route.GetAim().AsDuration())
 	if r.origin != nil {
 		r.query.Pin(r.origin.GetBuild())
 	}
@@ -249,15 +249,15 @@
 		choice := r.front.board.Choose(r.query)
 		if choice == nil {
 			if r.tries == 0 && r.unreached == 0 {
-				last = rejected{why: "no target can take it; " + r.front.board.Lacks(r.query)}
+				last = rejected{why: "no target can take it; " + r.front.board.UnfitSummary(r.query)}
 			}
 			break
 		}
 		if verdict := r.judge(choice); verdict.Refused() {
-			choice.End(mtboard.Left{})
+			choice.End(mtboard.Abandoned{})
 			r.reject(fmt.Sprintf("overloaded: the best target would begin to answer after %v", choice.Estimate().Round(time.Millisecond)), verdict.Again(),
-				zap.String("target", choice.Target()), zap.Duration("wait", choice.Wait()), zap.Duration("aim", r.route.GetAim().AsDuration()),
-				zap.String("next", choice.Losers()), zap.String("unfit", choice.Unfit()))
+				zap.String("target", choice.Target()), zap.Duration("wait", choice.QueueTime()), zap.Duration("aim", r.route.GetAim().AsDuration()),
+				zap.String("next", choice.RunnersUp()), zap.String("unfit", choice.Unfit()))
 			return
 		}
 		r.path.Add(mtlate.Entry, time.Since(began))
@@ -286,10 +286,10 @@
 // earlier attempt of the caller, is not, nor anything while the engines' speed is a guess: an
 // idle one would refuse.
 func (r *request) judge(choice *mtboard.Choice) mtshed.Verdict {
-	if r.delivered != nil || r.origin != nil || r.tries > 0 || !choice.Known() || r.front.without.shedding {
+	if r.delivered != nil || r.origin != nil || r.tries > 0 || !choice.EstimateReliable() || r.front.without.shedding {
 		return mtshed.Verdict{}
 	}
-	return mtshed.Decide(r.rank(), choice.Estimate(), choice.Wait(), r.route.GetAim().AsDuration(), time.Until(r.until), r.route.GetTimeout().AsDuration())
+	return mtshed.Decide(r.rank(), choice.Estimate(), choice.QueueTime(), r.route.GetAim().AsDuration(), time.Until(r.until), r.route.GetTimeout().AsDuration())
 }
 
 // mayTry says whether another target may get the request.
--- a/internal/relay/mtfront/standbys.go
+++ b/internal/relay/mtfront/standbys.go
@@ -117,7 +117,7 @@
 // take their engines from them.
 func (s *standbys) doubt() {
 	f := s.front
-	for _, target := range f.board.Unattended(doubtTime) {
+	for _, target := range f.board.MissingHeartbeat(doubtTime) {
 		s.mu.Lock()
 		taken := s.custody.Charge(target.GetAddress()).GetTaken()
 		s.mu.Unlock()
@@ -133,12 +133,12 @@
 	live := f.peers.heard(holderTime)
 	listed := f.roster.View()
 	var gone []string
-	for _, target := range f.board.Unattended(goneTime) {
+	for _, target := range f.board.MissingHeartbeat(goneTime) {
 		gone = append(gone, target.GetAddress())
 	}
 	return &mtcustody.View{
 		Gone:   gone,
-		Heard:  func(address string) bool { return f.board.Spoke(address) < spokeTime },
+		Heard:  func(address string) bool { return f.board.SinceHeartbeat(address) < spokeTime },
 		Listed: listed.Listed,
 		First:  f.first(),
 		Live:   func(entry string) bool { return live[entry] },
--- a/internal/relay/mtfront/stream.go
+++ b/internal/relay/mtfront/stream.go
@@ -36,7 +36,7 @@
 	case err != nil:
 		return r.cut(ctx, choice, link, err)
 	}
-	choice.End(mtboard.Good{})
+	choice.End(mtboard.Succeeded{})
 	link.Release(answer.GetIdle().AsDuration())
 	r.done(response.StatusCode, choice, count)
 	return answered{}
@@ -49,7 +49,7 @@
 // abandon ends a send whose caller is gone.
 func (r *request) abandon(choice *mtboard.Choice, link *mtlink.Link, why string) {
 	link.Close()
-	choice.End(mtboard.Left{})
+	choice.End(mtboard.Abandoned{})
 	r.left(why)
 	r.abort()
 }
