--- a/internal/placement/mtspeed/speed.go
+++ b/internal/placement/mtspeed/speed.go
@@ -1,11 +1,11 @@
-// Package mtspeed learns what the engines of a service need for their work from
-// the answers that an entry sees.
+// Package mtspeed estimates how fast the engines of a service are from the answers that an
+// entry observes.
 //
-// The load it answers is engines that nobody here has measured: five times faster
-// or three times slower than those of another fleet, on other links. Figures taken
-// from one fleet made entries refuse requests in front of idle engines, and read
-// anew what a fetch would have brought in a tenth of the time. An estimate that is
-// compared with an aim has to come from the engines that stand there.
+// Engines differ between fleets by up to five times faster or three times slower, and so do
+// their links. Constants measured on one fleet made entries refuse requests while engines were
+// idle, and recompute tokens that a fetch would have delivered in a tenth of the time. An
+// estimate that is compared with a latency objective therefore has to be learned from the engines
+// in use.
 package mtspeed
 
 import (
@@ -17,32 +17,32 @@
 	fleetv1 "github.com/mustardtide/mustardtide/gen/mustardtide/fleet/v1"
 )
 
-// Term is one of the times of which the time to a first token is the sum.
+// Term is one component of the time to first token, which is the sum of all terms.
 type Term int
 
-// Start is what a request needs besides its prompt; Read the reading of one token;
-// Begin what a fetch needs besides its tokens, and Fetch the transfer of one.
+// The terms: Start is the fixed cost of a request, Read the time to read (prefill) one token,
+// Begin the fixed cost of a fetch, and Fetch the time to transfer one token.
 const (
 	Start Term = iota
 	Read
 	Begin
 	Fetch
-	terms
+	numTerms
 )
 
-// first are the times until answers were seen: of engines that are neither fast
-// nor slow, 32 tokens read in a millisecond and 2 us to move one. They are off by
-// a factor of five in fleets of today, which thirty answers correct.
-var first = [terms]float64{
+// initialTimes are the estimates before any answer is observed: a typical engine reads 32 tokens
+// in a millisecond, and one token takes 2 us to transfer. In current fleets they are off by up to
+// a factor of five, which thirty answers correct.
+var initialTimes = [numTerms]float64{
 	Start: float64(70 * time.Millisecond),
 	Read:  float64(time.Second / 32_000),
 	Begin: float64(4 * time.Millisecond),
 	Fetch: float64(2 * time.Microsecond),
 }
 
-// bounds are the times that are believed: two to three powers of ten to each side,
-// far beyond the engines that are built today.
-var bounds = [terms][2]float64{
+// bounds are the accepted times: two to three orders of magnitude to either side, far beyond
+// current engines.
+var bounds = [numTerms][2]float64{
 	Start: {float64(time.Millisecond), float64(5 * time.Second)},
 	Read:  {float64(200 * time.Nanosecond), float64(5 * time.Millisecond)},
 	Begin: {float64(100 * time.Microsecond), float64(time.Second)},
@@ -50,43 +50,43 @@
 }
 
 const (
-	// firstStep is how far the first answers move the times, lastStep the later
-	// ones: the last hundred answers, some seconds of an entry's, count most.
-	firstStep = 0.5
-	lastStep  = 0.04
-	// settling is the number of answers in which the one goes over to the other.
+	// initialStep and finalStep are the learning rates for the first and for later answers. With
+	// finalStep, about the last hundred answers, a few seconds at one entry, dominate.
+	initialStep = 0.5
+	finalStep   = 0.04
+	// settling is the number of answers after which the learning rate has halved.
 	settling = 24
-	// clip bounds what one answer says, as the logarithm of its ratio to the
-	// estimate: an engine that fails, freezes or lies says no more than one that
-	// takes half as long again. So the times follow what most engines need.
-	clip = 0.4
-	// known is the number of answers from which on the times are told and relied
-	// on: the steps up to there correct a factor of ten.
-	known = 32
-	// firstAnswer stands for the length of an answer until some were seen.
-	firstAnswer = 400 * time.Millisecond
-	// answerStep is how far one answer moves the mean length.
+	// maxLogError limits the log of the ratio of one observation to its estimate: an engine
+	// that fails, freezes or lies counts no more than one that takes half as long again, so
+	// that the estimate follows the majority of engines.
+	maxLogError = 0.4
+	// minAnswers is the number of answers from which the times are relied on and shared:
+	// the steps up to there can correct a factor of ten.
+	minAnswers = 32
+	// defaultAnswer is the answer length assumed before any was observed.
+	defaultAnswer = 400 * time.Millisecond
+	// answerStep is the weight of one answer in the mean length.
 	answerStep = 0.02
-	// longestAnswer is the length that is believed.
-	longestAnswer = time.Minute
+	// maxAnswer is the longest answer length that is accepted.
+	maxAnswer = time.Minute
 )
 
-// Speed is one service's. It is not safe for concurrent use.
+// Speed holds the estimates for the engines of one service. It is not safe for concurrent use.
 type Speed struct {
-	times [terms]float64
+	times [numTerms]float64
 	count int64
-	// sum and squares are weighted means of the lengths of answers, from their
-	// first byte to their last, and of their squares, in seconds.
-	sum     float64
-	squares float64
+	// meanLength and meanSquare are weighted means of the lengths of answers, from first byte to
+	// last, and of their squares, in seconds.
+	meanLength float64
+	meanSquare float64
 }
 
-// Work is what a request asks of a target, in units of the terms: one start, the
-// tokens to be read, and the tokens to be fetched.
-type Work [terms]float64
+// Work is the work of a request at a target, in units of each term: one start, the tokens to
+// read, and the tokens to fetch.
+type Work [numTerms]float64
 
-// NewWork describes a request: the tokens that are read before its first token,
-// others' included, and the tokens that are fetched.
+// NewWork returns the work of a request. read counts the tokens read before its first token,
+// including those of requests ahead of it; fetched counts the tokens to fetch.
 func NewWork(read, fetched int64) Work {
 	w := Work{Start: 1, Read: float64(read)}
 	if fetched > 0 {
@@ -95,26 +95,26 @@
 	return w
 }
 
-// New returns the speed of engines of which nothing was seen but, where that is above
-// 0, what their links need for a token.
+// New returns the initial estimates. If transfer is above 0, it is the time that the engines'
+// links need for a token.
 func New(transfer time.Duration) *Speed {
-	s := &Speed{times: first}
+	s := &Speed{times: initialTimes}
 	if transfer > 0 {
-		s.times[Fetch] = within(Fetch, float64(transfer))
+		s.times[Fetch] = clamp(Fetch, float64(transfer))
 	}
 	return s
 }
 
-// Of is the time of one term.
+// Of returns the time of one unit of a term.
 func (s *Speed) Of(term Term) time.Duration { return time.Duration(s.times[term]) }
 
-// Known says that enough answers were seen to rely on the times.
-func (s *Speed) Known() bool { return s.count >= known }
+// Known reports whether enough answers were observed to rely on the times.
+func (s *Speed) Known() bool { return s.count >= minAnswers }
 
-// Tokens is the time in which an engine reads so many tokens.
+// Tokens returns the time that an engine needs to read count tokens.
 func (s *Speed) Tokens(count float64) time.Duration { return time.Duration(count * s.times[Read]) }
 
-// Estimate is the time to the first token.
+// Estimate returns the expected time to first token.
 func (s *Speed) Estimate(w Work) time.Duration {
 	var sum float64
 	for term, units := range w {
@@ -123,63 +123,65 @@
 	return time.Duration(sum)
 }
 
-// Learn takes in the time that a request took to its first token. Each term is
-// corrected by its share of the estimate, in the ratio of what was seen to it: what
-// most requests share is learned from all, and a term that a request hardly uses is
-// left alone. Half of the answers are then above the estimate, half below.
+// Learn records the time to first token of a request. Each term is corrected by the ratio of the
+// observed time to the estimate, in proportion to its share of the estimate: every request
+// contributes to the common terms, and a term that a request hardly uses barely changes. The
+// estimate converges to the median.
 func (s *Speed) Learn(w Work, took time.Duration) {
 	estimate := float64(s.Estimate(w))
 	if estimate <= 0 || took <= 0 {
 		return
 	}
-	off := math.Log(float64(took) / estimate)
-	off = min(clip, max(-clip, off)) * s.step()
+	logError := math.Log(float64(took) / estimate)
+	logError = min(maxLogError, max(-maxLogError, logError)) * s.step()
 	for term, units := range w {
 		share := units * s.times[term] / estimate
 		if share > 0 {
-			s.times[term] = within(Term(term), s.times[term]*(1+off*share))
+			s.times[term] = clamp(Term(term), s.times[term]*(1+logError*share))
 		}
 	}
 	s.count++
 }
 
+// step returns the learning rate for the next answer.
 func (s *Speed) step() float64 {
-	return max(lastStep, firstStep*settling/(settling+float64(s.count)))
+	return max(finalStep, initialStep*settling/(settling+float64(s.count)))
 }
 
-func within(term Term, value float64) float64 {
+// clamp limits a time to the bounds of its term.
+func clamp(term Term, value float64) float64 {
 	return min(bounds[term][1], max(bounds[term][0], value))
 }
 
-// Answered takes in how long an answer lasted from its first byte on.
+// Answered records the length of an answer, counted from its first byte.
 func (s *Speed) Answered(lasted time.Duration) {
-	seconds := max(0, min(lasted, longestAnswer)).Seconds()
-	if s.sum == 0 {
-		s.sum, s.squares = seconds, seconds*seconds
+	seconds := max(0, min(lasted, maxAnswer)).Seconds()
+	if s.meanLength == 0 {
+		s.meanLength, s.meanSquare = seconds, seconds*seconds
 		return
 	}
-	s.sum += answerStep * (seconds - s.sum)
-	s.squares += answerStep * (seconds*seconds - s.squares)
+	s.meanLength += answerStep * (seconds - s.meanLength)
+	s.meanSquare += answerStep * (seconds*seconds - s.meanSquare)
 }
 
-// Answer is the mean length of an answer.
+// Answer returns the mean length of an answer.
 func (s *Speed) Answer() time.Duration {
-	if s.sum <= 0 {
-		return firstAnswer
+	if s.meanLength <= 0 {
+		return defaultAnswer
 	}
-	return time.Duration(s.sum * float64(time.Second))
+	return time.Duration(s.meanLength * float64(time.Second))
 }
 
-// Running is the mean length of the answers that are under way at some moment: the
-// long ones are met more often than the short ones.
+// Running returns the mean total length of the answers in progress at a random moment. It is above
+// the mean of all answers, since long answers are more likely to be in progress.
 func (s *Speed) Running() time.Duration {
-	if s.sum <= 0 {
-		return firstAnswer
+	if s.meanLength <= 0 {
+		return defaultAnswer
 	}
-	return time.Duration(s.squares / s.sum * float64(time.Second))
+	return time.Duration(s.meanSquare / s.meanLength * float64(time.Second))
 }
 
-// Tell returns the times for other processes; nil until they can be relied on.
+// Tell returns the times to share with other processes, or nil while they are not reliable.
 func (s *Speed) Tell() *fleetv1.Speed {
 	if !s.Known() {
 		return nil
@@ -194,32 +196,31 @@
 	}
 }
 
-// Adopt takes over what another process has learned, where this one knows too
-// little itself. It reports whether it did; figures that no engine can have are
-// not believed.
-func (s *Speed) Adopt(told *fleetv1.Speed) bool {
-	if s.Known() || told == nil {
+// Adopt takes over the times learned by another process if this one has not observed enough
+// answers itself. It reports whether it did; times out of bounds are rejected.
+func (s *Speed) Adopt(snapshot *fleetv1.Speed) bool {
+	if s.Known() || snapshot == nil {
 		return false
 	}
-	times := [terms]float64{
-		Start: float64(told.GetStart().AsDuration()),
-		Read:  float64(told.GetRead().AsDuration()),
-		Begin: float64(told.GetBegin().AsDuration()),
-		Fetch: float64(told.GetFetch().AsDuration()),
+	times := [numTerms]float64{
+		Start: float64(snapshot.GetStart().AsDuration()),
+		Read:  float64(snapshot.GetRead().AsDuration()),
+		Begin: float64(snapshot.GetBegin().AsDuration()),
+		Fetch: float64(snapshot.GetFetch().AsDuration()),
 	}
 	for term, value := range times {
-		if within(Term(term), value) != value {
+		if clamp(Term(term), value) != value {
 			return false
 		}
 	}
-	answer, running := told.GetAnswer().AsDuration(), told.GetRunning().AsDuration()
-	if answer < 0 || running < 0 || answer > longestAnswer || running > longestAnswer {
+	answer, running := snapshot.GetAnswer().AsDuration(), snapshot.GetRunning().AsDuration()
+	if answer < 0 || running < 0 || answer > maxAnswer || running > maxAnswer {
 		return false
 	}
 	s.times = times
-	s.count = known
-	if s.sum == 0 {
-		s.sum, s.squares = answer.Seconds(), answer.Seconds()*running.Seconds()
+	s.count = minAnswers
+	if s.meanLength == 0 {
+		s.meanLength, s.meanSquare = answer.Seconds(), answer.Seconds()*running.Seconds()
 	}
 	return true
 }
--- a/internal/placement/mtspeed/speed_test.go
+++ b/internal/placement/mtspeed/speed_test.go
@@ -14,10 +14,10 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtspeed"
 )
 
-// engine is one that nobody has measured.
+// engine is a simulated engine of unknown speed.
 type engine struct {
 	start time.Duration
-	// rate is in tokens a millisecond.
+	// rate is in tokens per millisecond.
 	rate float64
 }
 
@@ -25,31 +25,31 @@
 	return e.start + time.Duration(float64(read)/e.rate*float64(time.Millisecond))
 }
 
-// answers lets a speed see answers of long and short prompts, some of them behind
-// others; every broken-th comes from an engine that takes so many times as long.
-func answers(s *mtspeed.Speed, e engine, random *rand.Rand, count, broken int, times float64) {
+// observe records answers to long and short prompts, some of them queued behind others. Every
+// slowEvery-th answer, if that is above 0, comes from an engine that takes slowdown times as long.
+func observe(s *mtspeed.Speed, e engine, random *rand.Rand, count, slowEvery int, slowdown float64) {
 	for i := range count {
 		read := 300 + random.Int64N(500)
 		if i%2 == 0 {
 			read = 2500 + random.Int64N(9000)
 		}
 		took := float64(e.takes(read)) * (0.9 + 0.2*random.Float64())
-		if broken > 0 && i%broken == 0 {
-			took *= times
+		if slowEvery > 0 && i%slowEvery == 0 {
+			took *= slowdown
 		}
 		s.Learn(mtspeed.NewWork(read, 0), time.Duration(took))
 	}
 }
 
-func near(s *mtspeed.Speed, e engine, read int64) float64 {
+// relativeEstimate returns the ratio of the estimated to the actual time to first token.
+func relativeEstimate(s *mtspeed.Speed, e engine, read int64) float64 {
 	return float64(s.Estimate(mtspeed.NewWork(read, 0))) / float64(e.takes(read))
 }
 
-// Engines five times faster, or three times slower, than any that was measured
-// before. With the figures of others every estimate is off by that much, and idle
-// engines seem to be late. After a second's answers the estimate is near what they
-// need, for long prompts and short ones.
-func TestUnknownEngines(t *testing.T) {
+// Engines may be five times faster or three times slower than any measured before. With constants
+// of another fleet every estimate would be off by that factor and idle engines would seem late.
+// After about a second of answers the estimate must fit, for long prompts and for short ones.
+func TestEstimateConvergesForUnknownEngines(t *testing.T) {
 	for _, e := range []engine{
 		{10 * time.Millisecond, 157},
 		{30 * time.Millisecond, 32},
@@ -59,70 +59,70 @@
 		g := NewWithT(t)
 		s := mtspeed.New(0)
 		random := rand.New(rand.NewPCG(1, 2))
-		answers(s, e, random, 40, 0, 0)
+		observe(s, e, random, 40, 0, 0)
 		g.Expect(s.Known()).To(BeTrue())
-		g.Expect(near(s, e, 6000)).To(BeNumerically("~", 1, 0.35), fmt.Sprint(e))
-		answers(s, e, random, 600, 0, 0)
+		g.Expect(relativeEstimate(s, e, 6000)).To(BeNumerically("~", 1, 0.35), fmt.Sprint(e))
+		observe(s, e, random, 600, 0, 0)
 		for _, read := range []int64{400, 2500, 9000} {
-			g.Expect(near(s, e, read)).To(BeNumerically("~", 1, 0.25), fmt.Sprint(e, read))
+			g.Expect(relativeEstimate(s, e, read)).To(BeNumerically("~", 1, 0.25), fmt.Sprint(e, read))
 		}
 	}
 }
 
-// One engine in five takes eight times as long while its health is good. It must
-// not make all the others seem slow: callers would be sent away from them.
-func TestFewSlowEnginesDoNotDecide(t *testing.T) {
+// One engine in five takes eight times as long although its health checks pass. It must not raise
+// the estimate for all the others, since requests would be refused or sent elsewhere.
+func TestFewSlowEnginesDoNotSkewEstimate(t *testing.T) {
 	g := NewWithT(t)
 	e := engine{15 * time.Millisecond, 100}
 	s := mtspeed.New(0)
-	answers(s, e, rand.New(rand.NewPCG(3, 4)), 800, 5, 8)
-	g.Expect(near(s, e, 6000)).To(BeNumerically("<", 1.4))
-	g.Expect(near(s, e, 6000)).To(BeNumerically(">", 0.9))
+	observe(s, e, rand.New(rand.NewPCG(3, 4)), 800, 5, 8)
+	g.Expect(relativeEstimate(s, e, 6000)).To(BeNumerically("<", 1.4))
+	g.Expect(relativeEstimate(s, e, 6000)).To(BeNumerically(">", 0.9))
 }
 
-// The engines of a service are replaced by slower ones: the estimate follows.
-func TestSpeedFollowsTheEngines(t *testing.T) {
+// The estimate follows when the engines of a service are replaced by slower ones.
+func TestEstimateFollowsReplacedEngines(t *testing.T) {
 	g := NewWithT(t)
 	s := mtspeed.New(0)
 	random := rand.New(rand.NewPCG(5, 6))
-	answers(s, engine{10 * time.Millisecond, 200}, random, 500, 0, 0)
+	observe(s, engine{10 * time.Millisecond, 200}, random, 500, 0, 0)
 	slow := engine{40 * time.Millisecond, 40}
-	answers(s, slow, random, 300, 0, 0)
-	g.Expect(near(s, slow, 6000)).To(BeNumerically("~", 1, 0.3))
+	observe(s, slow, random, 300, 0, 0)
+	g.Expect(relativeEstimate(s, slow, 6000)).To(BeNumerically("~", 1, 0.3))
 }
 
-// A restarted entry knows nothing; another tells it what it has learned. Figures
-// that no engine can have are not taken over, nor any once own answers were seen.
-func TestWhatOthersTell(t *testing.T) {
+// A restarted entry knows nothing and adopts what another has learned. It rejects times out of
+// bounds, and any times once it has reliable ones.
+func TestAdoptTimesOfOtherProcess(t *testing.T) {
 	g := NewWithT(t)
 	e := engine{10 * time.Millisecond, 157}
-	old, young := mtspeed.New(0), mtspeed.New(0)
-	g.Expect(young.Tell()).To(BeNil())
-	answers(old, e, rand.New(rand.NewPCG(7, 8)), 300, 0, 0)
-	old.Answered(200 * time.Millisecond)
-	told := old.Tell()
-	for _, change := range []func(*fleetv1.Speed){
+	source, restarted := mtspeed.New(0), mtspeed.New(0)
+	g.Expect(restarted.Tell()).To(BeNil())
+	observe(source, e, rand.New(rand.NewPCG(7, 8)), 300, 0, 0)
+	source.Answered(200 * time.Millisecond)
+	snapshot := source.Tell()
+	for _, corrupt := range []func(*fleetv1.Speed){
 		func(s *fleetv1.Speed) { s.Read = durationpb.New(0) },
 		func(s *fleetv1.Speed) { s.Read = durationpb.New(-time.Second) },
 		func(s *fleetv1.Speed) { s.Start = durationpb.New(time.Hour) },
 		func(s *fleetv1.Speed) { s.Fetch = nil },
 		func(s *fleetv1.Speed) { s.Running = durationpb.New(24 * time.Hour) },
 	} {
-		wrong := old.Tell()
-		change(wrong)
-		g.Expect(young.Adopt(wrong)).To(BeFalse())
+		invalid := source.Tell()
+		corrupt(invalid)
+		g.Expect(restarted.Adopt(invalid)).To(BeFalse())
 	}
-	g.Expect(young.Adopt(nil)).To(BeFalse())
-	g.Expect(young.Adopt(told)).To(BeTrue())
-	g.Expect(young.Known()).To(BeTrue())
-	g.Expect(near(young, e, 6000)).To(BeNumerically("~", near(old, e, 6000), 0.01))
-	g.Expect(young.Answer()).To(BeNumerically("~", 200*time.Millisecond, time.Millisecond))
-	g.Expect(young.Adopt(told)).To(BeFalse())
+	g.Expect(restarted.Adopt(nil)).To(BeFalse())
+	g.Expect(restarted.Adopt(snapshot)).To(BeTrue())
+	g.Expect(restarted.Known()).To(BeTrue())
+	g.Expect(relativeEstimate(restarted, e, 6000)).To(BeNumerically("~", relativeEstimate(source, e, 6000), 0.01))
+	g.Expect(restarted.Answer()).To(BeNumerically("~", 200*time.Millisecond, time.Millisecond))
+	g.Expect(restarted.Adopt(snapshot)).To(BeFalse())
 }
 
-// Most answers are short and a few long: an engine that is about to load meets the
-// long ones, and waits for them rather than for the mean.
-func TestRunningAnswersAreTheLongOnes(t *testing.T) {
+// Most answers are short and a few are long. A request that finds an engine busy mostly waits for
+// a long answer, so the mean of the answers in progress must be above the mean of all answers.
+func TestRunningIsWeightedTowardsLongAnswers(t *testing.T) {
 	g := NewWithT(t)
 	s := mtspeed.New(0)
 	g.Expect(s.Running()).To(Equal(400 * time.Millisecond))
@@ -137,7 +137,7 @@
 	g.Expect(s.Running()).To(BeNumerically(">", 600*time.Millisecond))
 }
 
-// Whatever is seen, the times stay such that an estimate can be made of them.
+// The times stay positive whatever is observed, so that estimates remain usable.
 func TestTimesStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := mtspeed.New(0)
@@ -149,11 +149,11 @@
 		}
 		for term := mtspeed.Start; term <= mtspeed.Fetch; term++ {
 			if s.Of(term) <= 0 {
-				t.Fatalf("term %d takes %v", term, s.Of(term))
+				t.Fatalf("time of term %d is not positive: %v", term, s.Of(term))
 			}
 		}
 		if s.Answer() < 0 || s.Running() < 0 {
-			t.Fatalf("answers last %v, those under way %v", s.Answer(), s.Running())
+			t.Fatalf("mean answer length %v, mean length of answers in progress %v", s.Answer(), s.Running())
 		}
 	})
 }
