--- a/internal/placement/mtplace/choose.go
+++ b/internal/placement/mtplace/choose.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// Probes bounds the targets that one request is offered to: two homes, the
-	// homes a level up and down, two remembered ones. Each costs a small call
-	// of some 50 microseconds; they run side by side.
+	// Probes limits the candidates of one request: two homes, the homes one level up and down,
+	// and two remembered targets. Each is asked for an offer, a small call of some 50
+	// microseconds; the calls run in parallel.
 	Probes = 6
-	// tail is the share of a prompt taken for the caller's own question: the
-	// homes are named by the deepest power of two marks that leaves it out.
-	tail = 0.25
-	// holds is the share of a prompt that a target must have cached to count
-	// as a holder whatever the prefix. What the dossiers of one school share is
-	// less, and must not draw all of them to one target.
-	holds = 0.5
-	// fair is the part of one target's share of the requests up to which a
-	// shorter prefix may draw its requests to one target: twice the load that a
-	// prefix seems to have still fits there.
-	fair = 0.5
-	// evidence is the requests per target that must have been seen to tell a
-	// prefix's share: with fewer, one more sighting decides.
-	evidence = 4
-	// freshSighting and freshWord bound what may be trusted without an offer,
-	// and idle the wait up to which a mistake costs less than the offer.
-	freshSighting = time.Second
-	freshWord     = 100 * time.Millisecond
-	idle          = 5 * time.Millisecond
-	// plainSamples is the number of targets tried for a request without prefix.
+	// uniqueShare is the share of a prompt assumed to be the caller's own question. The homes are
+	// derived from the largest power-of-two number of marks that leaves it out.
+	uniqueShare = 0.25
+	// holderShare is the share of a prompt that a target must have cached to count as a holder
+	// regardless of how hot the prefix is. Documents of one origin have less in common, and that
+	// common part must not draw all of them to one target.
+	holderShare = 0.5
+	// hotShare is the fraction of one target's share of the requests up to which a shorter prefix
+	// may concentrate its requests on one target. It leaves room for a prefix with twice the load
+	// that it appears to have.
+	hotShare = 0.5
+	// minSamples is the number of requests per target needed to estimate the share of a prefix:
+	// with fewer, a single further sighting would change the result.
+	minSamples = 4
+	// maxSightingAge and maxStateAge limit the age of information that is trusted without asking
+	// for offers. Below maxIdleWait a wrong choice costs less than the offers would.
+	maxSightingAge = time.Second
+	maxStateAge    = 100 * time.Millisecond
+	maxIdleWait    = 5 * time.Millisecond
+	// plainSamples is the number of targets sampled for a request without a prefix.
 	plainSamples = 2
 )
 
-// Choose lists the candidates of a request, the best first by what this entry
-// knows; prompt is in tokens.
+// Choose returns the candidates of a request, ordered by the local estimate of their cost. The
+// prompt length is in tokens.
 func (p *Place) Choose(chain mtchain.Chain, prompt uint64) *mtchoice.Choice {
 	f := p.fleet.Load()
 	depth := homeDepth(chain.Len())
@@ -50,31 +50,31 @@
 		return c
 	}
 	if depth == 0 {
-		p.spread(f, c)
+		p.addSamples(f, c)
 	} else {
-		c.SetLeast(p.least(f, chain))
-		age := p.recall(f, c)
+		c.SetLeast(p.minDepth(f, chain))
+		age := p.addRemembered(f, c)
 		p.addHomes(f, c)
 		defer func() { c.SetFresh(p.fresh(c, age)) }()
 	}
-	p.price(c)
+	p.updateScores(c)
 	c.Sort(func(i int) bool { return c.Target(i).Usable() })
 	c.Cut(Probes)
 	return c
 }
 
-// homeDepth is the number of marks that name a prompt's homes: a power of
-// two, so that prompts of one dossier agree on it whatever their own length.
-func homeDepth(marks int) int {
-	shared := marks - int(float64(marks)*tail)
-	if shared == 0 {
+// homeDepth returns the number of marks that determine a prompt's homes. It is a power of two so
+// that prompts with the same document agree on it whatever their own length.
+func homeDepth(markCount int) int {
+	sharedMarks := markCount - int(float64(markCount)*uniqueShare)
+	if sharedMarks == 0 {
 		return 0
 	}
-	return 1 << (bits.Len(uint(shared)) - 1)
+	return 1 << (bits.Len(uint(sharedMarks)) - 1)
 }
 
-// spread adds samples for a request without a prefix.
-func (p *Place) spread(f *fleet, c *mtchoice.Choice) {
+// addSamples adds sampled targets for a request without a prefix.
+func (p *Place) addSamples(f *fleet, c *mtchoice.Choice) {
 	for range plainSamples {
 		c.AddHome(p.sample(f))
 	}
@@ -83,9 +83,9 @@
 	}
 }
 
-// recall adds the targets that were last seen with the deepest remembered
-// part of the prompt and returns the sighting's age.
-func (p *Place) recall(f *fleet, c *mtchoice.Choice) time.Duration {
+// addRemembered adds the targets that were last seen with the longest remembered prefix of the
+// prompt. It returns the age of that sighting.
+func (p *Place) addRemembered(f *fleet, c *mtchoice.Choice) time.Duration {
 	chain := c.Chain()
 	for depth := chain.Len(); depth >= c.Least(); depth = below(depth) {
 		targets, age := p.memory.Find(chain.At(depth - 1))
@@ -104,16 +104,16 @@
 	return never
 }
 
-// least is the number of marks that a target must hold of a prompt to count as
-// a holder: half of them, or fewer where the shorter prefix makes up less than
-// one target's share of the requests.
-func (p *Place) least(f *fleet, chain mtchain.Chain) int {
-	least := int(math.Ceil(holds * float64(chain.Len())))
+// minDepth returns the number of marks of a prompt that a target must hold to count as a holder:
+// half of them, or fewer if the shorter prefix accounts for less than one target's share of the
+// requests.
+func (p *Place) minDepth(f *fleet, chain mtchain.Chain) int {
+	least := int(math.Ceil(holderShare * float64(chain.Len())))
 	requests := p.memory.Requests()
-	if requests < evidence*float64(len(f.list)) {
+	if requests < minSamples*float64(len(f.list)) {
 		return least
 	}
-	limit := fair * requests / float64(len(f.list))
+	limit := hotShare * requests / float64(len(f.list))
 	for depth := below(least); depth > 0; depth = below(depth) {
 		if p.memory.Sightings(chain.At(depth-1)) > limit {
 			break
@@ -123,11 +123,11 @@
 	return least
 }
 
-// never is the age of a sighting that never was.
+// never is the age returned if there was no sighting.
 const never = time.Hour
 
-// below is the next depth, downwards, at which prefixes are remembered: the
-// powers of two and the halves between them.
+// below returns the next smaller depth at which prefixes are remembered. These depths are the
+// powers of two and the midpoints between them.
 func below(depth int) int {
 	power := 1 << (bits.Len(uint(depth)) - 1)
 	half := power + power/2
@@ -141,9 +141,8 @@
 	}
 }
 
-// addHomes adds the homes of the prompt: all that its prefix has now, the next
-// one in reserve, and one each a level up and down, where another entry may
-// have placed a prompt of another length.
+// addHomes adds the current homes of the prompt's prefix, the next home as a reserve, and one home
+// each a level up and down, where another entry may have placed a prompt of a different length.
 func (p *Place) addHomes(f *fleet, c *mtchoice.Choice) {
 	chain, depth := c.Chain(), c.Depth()
 	var space [mtwiden.Most + 1]int32
@@ -171,66 +170,68 @@
 	}
 }
 
-// fresh says that the best candidate was seen with the prefix and heard from
-// a moment ago, and is idle.
+// fresh reports whether the best candidate is an idle holder whose sighting and state are recent,
+// so that the request can run there without offers.
 func (p *Place) fresh(c *mtchoice.Choice, age time.Duration) bool {
-	if c.Len() == 0 || age > freshSighting {
+	if c.Len() == 0 || age > maxSightingAge {
 		return false
 	}
 	best := c.Target(0)
-	return holder(c, 0) && !p.demote.Demoted(best.ID()) && best.Age() < freshWord && best.Wait() < idle
+	return isHolder(c, 0) && !p.demote.Demoted(best.ID()) && best.Age() < maxStateAge && best.Wait() < maxIdleWait
 }
 
-// holder says that a candidate has cached enough of the prompt.
-func holder(c *mtchoice.Choice, i int) bool {
+// isHolder reports whether a candidate has cached enough of the prompt.
+func isHolder(c *mtchoice.Choice, i int) bool {
 	return c.Matched(i) > 0 && c.Matched(i) >= uint64(c.Least()*c.Chain().Span()/mtchain.TokenBytes)
 }
 
-func (p *Place) price(c *mtchoice.Choice) {
+// updateScores computes the scores of all candidates.
+func (p *Place) updateScores(c *mtchoice.Choice) {
 	for i := range c.Len() {
 		t := c.Target(i)
 		uncached := c.Prompt()
-		if holder(c, i) {
+		if isHolder(c, i) {
 			uncached -= min(c.Prompt(), c.Matched(i))
 		}
 		c.Price(i, mtscore.Of(c.Wait(i), uncached, p.rate(), t.Distance(), p.demote.Slowness(t.ID())))
 	}
 }
 
-// Rank puts the candidates in the order to try them, after the offers.
+// Rank orders the candidates by preference once their offers are in.
 //
-// Where no target holds the prefix, the best of all gets it. Where some do,
-// the others wait for their turn until the prefix widens. A target far behind
-// its fleet is no holder but for a trickle: its prefixes move on, each computed
-// once, or all who ask for them come late as long as it stays slow.
+// If no target holds the prefix, the cheapest of all comes first. Otherwise the others stay behind
+// the holders until the prefix widens. A demoted target counts as a holder only for its probes:
+// its prefixes move to other targets, each computed once there, since otherwise all requests for
+// them would be late as long as it stays slow.
 func (p *Place) Rank(c *mtchoice.Choice) {
-	p.price(c)
-	best, spare := -1, -1
-	first := make(map[*mttarget.Target]bool, c.Len())
+	p.updateScores(c)
+	best, other := -1, -1
+	preferred := make(map[*mttarget.Target]bool, c.Len())
 	for i := range c.Len() {
-		shunned := p.shunned(c, i)
+		excluded := p.excluded(c, i)
 		switch {
 		case c.Refused(i):
-		case holder(c, i) && !shunned:
+		case isHolder(c, i) && !excluded:
 			best = cheaper(c, best, i)
-			first[c.Target(i)] = true
-		case c.Neighbour(i), shunned:
+			preferred[c.Target(i)] = true
+		case c.Neighbour(i), excluded:
 		default:
-			spare = cheaper(c, spare, i)
+			other = cheaper(c, other, i)
 		}
 	}
-	if spare >= 0 && (best < 0 || p.widens(c, best, spare)) {
-		first[c.Target(spare)] = true
+	if other >= 0 && (best < 0 || p.widens(c, best, other)) {
+		preferred[c.Target(other)] = true
 	}
-	c.Sort(func(i int) bool { return first[c.Target(i)] })
+	c.Sort(func(i int) bool { return preferred[c.Target(i)] })
 }
 
-// shunned says that a target is demoted and that this is not its trial.
-func (p *Place) shunned(c *mtchoice.Choice, i int) bool {
+// excluded reports whether a target is demoted and this request is not its probe.
+func (p *Place) excluded(c *mtchoice.Choice, i int) bool {
 	id := c.Target(i).ID()
-	return p.demote.Demoted(id) && (!holder(c, i) || !p.demote.Probe(id))
+	return p.demote.Demoted(id) && (!isHolder(c, i) || !p.demote.Probe(id))
 }
 
+// cheaper returns the index of the candidate with the lower score; best is -1 if there is none yet.
 func cheaper(c *mtchoice.Choice, best, i int) int {
 	if best < 0 || c.Score(i) < c.Score(best) {
 		return i
@@ -238,19 +239,19 @@
 	return best
 }
 
-// widens reports whether the prefix gets one more home for this request.
-func (p *Place) widens(c *mtchoice.Choice, best, spare int) bool {
+// widens updates the number of homes of the prefix and reports whether it gains one for this request.
+func (p *Place) widens(c *mtchoice.Choice, best, other int) bool {
 	if c.Depth() == 0 {
 		return false
 	}
 	mark := c.Chain().At(c.Depth() - 1)
 	before := p.widen.Width(mark)
-	after := p.widen.Waited(mark, time.Duration(c.Score(best)), time.Duration(c.Score(spare)))
+	after := p.widen.Waited(mark, time.Duration(c.Score(best)), time.Duration(c.Score(other)))
 	return after > before
 }
 
-// Homes gives the first n homes of a prompt, without memory; for tests and
-// operators.
+// Homes returns the names of the first n homes of a prompt, without remembered targets. It is meant
+// for tests and operators.
 func (p *Place) Homes(chain mtchain.Chain, n int) []string {
 	f := p.fleet.Load()
 	depth := homeDepth(chain.Len())
--- a/internal/placement/mtplace/learn.go
+++ b/internal/placement/mtplace/learn.go
@@ -10,7 +10,7 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// Heard takes in a target's own word, from whatever message brought it.
+// Heard records the state reported by a target, in whichever message it arrived.
 func (p *Place) Heard(state *mustardtidev1.State) {
 	t := p.fleet.Load().byName[state.GetTarget()]
 	if t == nil {
@@ -19,16 +19,16 @@
 	if t.Restarted(state.GetIncarnation()) {
 		p.demote.Start(t.ID())
 	}
-	// The wait is that of an account that has nothing waiting; one that has
-	// waits for its own backlog as well.
+	// The reported wait applies to a client account without waiting requests; one that has some
+	// also waits for its own backlog.
 	wait := max(state.GetWait().AsDuration(), mtscore.Compute(state.GetBacklog(), state.GetPrefill()))
-	p.hear(state.GetPrefill())
+	p.observeRate(state.GetPrefill())
 	t.Say(wait, state.GetPrefill(), state.GetLeaving())
 }
 
-// Sent notes that a request goes to a candidate: from now on the target holds
-// its prefix, or will before the next request can compute it. Other targets
-// are ignored.
+// Sent records that a request is sent to a candidate. From now on the target counts as a holder of
+// the prefix, since it will hold it before another request could compute it. A target that is not
+// a candidate is ignored.
 func (p *Place) Sent(c *mtchoice.Choice, target string) {
 	i := c.Find(target)
 	if i < 0 {
@@ -43,8 +43,7 @@
 	}
 }
 
-// Missed notes that a target turned out to have cached so many tokens of a
-// chain and not more.
+// Missed records that a target had only the given number of tokens of a chain cached.
 func (p *Place) Missed(chain mtchain.Chain, target string, matched uint64) {
 	t := p.fleet.Load().byName[target]
 	if t == nil {
@@ -55,10 +54,10 @@
 	}
 }
 
-// First takes in the time from a run's begin to its first token, against the
-// expected: the wait that the target named when the choice was made and the
-// time to compute what it had not cached. The wait named after the run was
-// taken would hold the run's own computing at the target's own rate.
+// First compares the time from the start of a run to its first token with the expected time: the
+// wait known when the choice was made plus the time to compute the uncached tokens. The wait
+// reported after the run was accepted is not used: it would include the computing of the run
+// itself at the target's own rate.
 func (p *Place) First(c *mtchoice.Choice, target string, took time.Duration, uncached uint64) {
 	i := c.Find(target)
 	if i < 0 {
@@ -69,25 +68,26 @@
 }
 
 const (
-	// base is the time to a first token that is neither waiting nor computing:
-	// the step of a batch and the hops. It keeps short answers from looking slow.
+	// base is the time to first token without waiting or computing: one batch step and the network
+	// hops. It keeps requests with a short time to first token from looking slow.
 	base = 10 * time.Millisecond
-	// rateGain is the share of one target's word in the fleet's prefill rate:
-	// of one slow target in six the mean moves by less than a tenth.
+	// rateGain is the weight of one state in the fleet's mean prefill rate. It is low enough that
+	// one slow target in six moves the mean by less than a tenth.
 	rateGain = 0.01
 )
 
-// rate is the fleet's mean prefill rate. A slow target must be held against the
-// others: its own measured rate explains its late answers.
-func (p *Place) rate() float64 { return math.Float64frombits(p.mean.Load()) }
+// rate returns the fleet's mean prefill rate. Slowness is measured against this rate, since a slow
+// target's own rate would explain its late answers.
+func (p *Place) rate() float64 { return math.Float64frombits(p.meanRate.Load()) }
 
-func (p *Place) hear(rate float64) {
+// observeRate adds a target's prefill rate to the fleet's mean; 0 means that it is unknown.
+func (p *Place) observeRate(rate float64) {
 	mean := p.rate()
 	switch {
 	case rate <= 0:
 	case mean == 0:
-		p.mean.Store(math.Float64bits(rate))
+		p.meanRate.Store(math.Float64bits(rate))
 	default:
-		p.mean.Store(math.Float64bits(mean + (rate-mean)*rateGain))
+		p.meanRate.Store(math.Float64bits(mean + (rate-mean)*rateGain))
 	}
 }
--- a/internal/placement/mtplace/place.go
+++ b/internal/placement/mtplace/place.go
@@ -1,10 +1,9 @@
-// Package mtplace chooses targets for requests: it assembles homes, memory,
-// widening, demotion and score.
+// Package mtplace chooses targets for requests. It combines hashed homes, remembered sightings of
+// prefixes, widening of hot prefixes, demotion of slow targets and a cost score.
 //
-// It answers long shared prompts that arrive at several entries: prefix
-// hashing alone overloads the target of a hot dossier, and load alone computes
-// each dossier on every target. A request goes where waiting and computing
-// together end first.
+// The workload is long shared prompts that arrive at several entries. Prefix hashing alone overloads
+// the target of a hot document, and balancing by load alone computes each document on every
+// target. A request therefore goes where waiting and computing together are expected to end first.
 package mtplace
 
 import (
@@ -21,14 +20,14 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtwiden"
 )
 
-// Round trips taken until they are measured: about one millisecond one way
-// between data centres, a fifth of it within.
+// Round-trip times assumed until they are measured: about one millisecond one way between data
+// centres, and a fifth of that within one.
 const (
-	nearTrip = 400 * time.Microsecond
-	farTrip  = 2 * time.Millisecond
+	localRoundTrip  = 400 * time.Microsecond
+	remoteRoundTrip = 2 * time.Millisecond
 )
 
-// fleet is one state of the membership. It is immutable.
+// fleet is an immutable snapshot of the membership.
 type fleet struct {
 	list   []*mttarget.Target
 	byID   map[uint32]*mttarget.Target
@@ -36,23 +35,24 @@
 	homes  *mthomes.Homes
 }
 
-// Place chooses among the targets of one service. It is safe for concurrent
-// use; requests read the membership without a lock.
+// Place chooses among the targets of one service. It is safe for concurrent use; requests read the
+// membership without a lock.
 type Place struct {
-	datacentre string
-	fleet      atomic.Pointer[fleet]
-	memory     *mtmemory.Memory
-	widen      *mtwiden.Widen
-	demote     *mtdemote.Demote
-	turn       atomic.Uint64
-	mean       atomic.Uint64
+	datacentre  string
+	fleet       atomic.Pointer[fleet]
+	memory      *mtmemory.Memory
+	widen       *mtwiden.Widen
+	demote      *mtdemote.Demote
+	sampleState atomic.Uint64
+	// meanRate holds the bits of a float64, in tokens per second; 0 means that it is unknown.
+	meanRate atomic.Uint64
 
-	mu   sync.Mutex
-	last uint32
+	mu     sync.Mutex
+	lastID uint32
 }
 
-// New returns a place without targets for an entry in a data centre. The seed
-// decides its samples.
+// New returns a Place without targets for an entry in the given data centre. The seed determines
+// which targets it samples.
 func New(datacentre string, seed uint64) *Place {
 	p := &Place{
 		datacentre: datacentre,
@@ -60,13 +60,12 @@
 		widen:      mtwiden.New(),
 		demote:     mtdemote.New(),
 	}
-	p.turn.Store(seed)
+	p.sampleState.Store(seed)
 	p.fleet.Store(&fleet{homes: mthomes.New(nil)})
 	return p
 }
 
-// Members takes the service's targets that may get work. Targets that stay
-// keep what is known of them.
+// Members replaces the targets that may get work. What is known of targets that remain is kept.
 func (p *Place) Members(members []*mustardtidev1.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,8 +74,8 @@
 	for _, m := range members {
 		t := before.byName[m.GetName()]
 		if t == nil {
-			p.last++
-			t = mttarget.New(m.GetName(), m.GetDatacentre(), p.last, p.distance(m))
+			p.lastID++
+			t = mttarget.New(m.GetName(), m.GetDatacentre(), p.lastID, p.distance(m))
 		}
 		next.list = append(next.list, t)
 		next.byID[t.ID()] = t
@@ -93,11 +92,12 @@
 	p.fleet.Store(next)
 }
 
+// distance returns the assumed round-trip time to a member.
 func (p *Place) distance(m *mustardtidev1.Member) time.Duration {
 	if m.GetDatacentre() == p.datacentre {
-		return nearTrip
+		return localRoundTrip
 	}
-	return farTrip
+	return remoteRoundTrip
 }
 
 func names(list []*mttarget.Target) []string {
@@ -116,13 +116,13 @@
 	return all
 }
 
-// sample gives a target of the fleet, another each time; nil if there is none.
+// sample returns a pseudo-random target of the fleet, or nil if there is none.
 func (p *Place) sample(f *fleet) *mttarget.Target {
 	if len(f.list) == 0 {
 		return nil
 	}
-	// A splitmix64 step: cheap, and the same for the same seed.
-	z := p.turn.Add(0x9e3779b97f4a7c15)
+	// This is a splitmix64 step: cheap, and deterministic for a given seed.
+	z := p.sampleState.Add(0x9e3779b97f4a7c15)
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return f.list[(z^z>>31)%uint64(len(f.list))]
--- a/internal/placement/mtplace/place_bench_test.go
+++ b/internal/placement/mtplace/place_bench_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-// prompts are chains of 40 marks behind a few hundred dossiers.
+// prompts returns chains of 40 marks for a few hundred documents.
 func prompts() []mtchain.Chain {
 	var list []mtchain.Chain
 	for i := range 256 {
@@ -29,8 +29,8 @@
 	return list
 }
 
-// BenchmarkPlacement is one decision without offers: candidates, order and the
-// note of the run. Its time must not grow with the number of targets.
+// BenchmarkPlacement measures one decision without offers: listing the candidates, ranking them and
+// recording the run. Its time must not grow with the number of targets.
 func BenchmarkPlacement(b *testing.B) {
 	for _, targets := range []int{20, 270, 2700} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// BenchmarkMembership is one change of the list of targets.
+// BenchmarkMembership measures one update of the list of targets.
 func BenchmarkMembership(b *testing.B) {
 	for _, targets := range []int{20, 270, 2700} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
