--- a/internal/placement/mtholder/holder.go
+++ b/internal/placement/mtholder/holder.go
@@ -1,9 +1,8 @@
-// Package mtholder remembers which targets hold which parts of prompts.
+// Package mtholder tracks which targets hold which parts of prompts.
 //
-// The load it answers is prompts that share long parts while engines evict
-// within seconds: without it a part is read anew at every engine. What is
-// remembered is a hint: a target that no longer holds a part costs a
-// millisecond of a fetch that misses.
+// Prompts share long parts, and engines evict them within seconds. Without this table each engine
+// would read a shared part anew. Its entries are hints: if a target no longer holds a part, a
+// fetch from it misses, which costs a millisecond.
 package mtholder
 
 import (
@@ -18,43 +17,44 @@
 )
 
 const (
-	// kept bounds the parts that are remembered: at about 200 bytes each, 3 MB.
-	kept = 16384
-	// holders bounds the targets remembered for one part: of the first parts, which
-	// are in nearly every prompt, most engines of a fleet of today hold a copy, and one
-	// that is not known to would be passed over.
-	holders = 64
-	// heldMost bounds what is remembered in all, 4 MB: many parts with many holders
-	// each would take a small instance's memory.
-	heldMost = 4 * kept
-	// believed is how long a part counts as held after its last use where the
-	// target has not told of it: engines drop what was not used for some seconds
-	// when their memory fills.
-	believed = 3 * time.Second
-	// given is how long a part counts as about to be read.
-	given = 3 * time.Second
-	// keeping is how long a store counts as holding a part after it was sent there or
-	// fetched from there: it has several times an engine's memory, and a fetch that
-	// misses shows.
-	keeping = time.Minute
-	// named is how long a target is named to others that look for a part: they ask its
-	// sidecar before they rely on it.
-	named = 30 * time.Second
-	// settled is how long what was heard of a part stands against the target's own word
-	// that it does not hold it: engines tell of what they have read a moment later.
-	settled = 300 * time.Millisecond
-	// told is how long a part counts as held where the target has told of it: a few
-	// events never come.
-	told = time.Minute
+	// maxParts limits the number of parts: about 200 bytes each, 3 MB in total.
+	maxParts = 16384
+	// maxHolders limits the number of targets per part. The first parts occur in nearly
+	// every prompt, and most engines of a current fleet hold a copy of them; a holder missing
+	// from the table would be passed over.
+	maxHolders = 64
+	// maxEntries limits the number of entries of all parts together to 4 MB: many parts with
+	// many holders each would exhaust the memory of a small instance.
+	maxEntries = 4 * maxParts
+	// unconfirmedTTL applies to a holder that has not reported the part itself, counted from the
+	// last use: engines evict parts that were unused for some seconds when memory fills.
+	unconfirmedTTL = 3 * time.Second
+	// readingTTL is how long a part that a target was given to read counts as in progress.
+	readingTTL = 3 * time.Second
+	// storeTTL is how long a store counts as holding a part after the part was sent to it or
+	// fetched from it. A store has several times the memory of an engine, and a fetch that
+	// misses is noticed.
+	storeTTL = time.Minute
+	// advertiseTTL is how long a holder is returned to other processes that look up a part.
+	// They ask its sidecar before they rely on it.
+	advertiseTTL = 30 * time.Second
+	// reportDelay is how long a new entry is kept although the target reports that it does not
+	// hold the part: engines report what they have read with a short delay.
+	reportDelay = 300 * time.Millisecond
+	// reportedTTL is how long a part reported by the target counts as held: a few eviction
+	// events are lost.
+	reportedTTL = time.Minute
 )
 
-// Memory is one entry's. It is safe for concurrent use.
+// Memory is a bounded table of holders, kept by an entry or a directory. The parts recorded
+// least recently are evicted. It is safe for concurrent use.
 type Memory struct {
 	mu    sync.Mutex
 	parts map[key]*list.Element
+	// order lists the records, the most recently recorded first.
 	order *list.List
-	// held counts the holders of all parts.
-	held int
+	// entries counts the holders of all parts.
+	entries int
 }
 
 type key struct {
@@ -62,50 +62,52 @@
 	part string
 }
 
+// record lists the holders of one part.
 type record struct {
-	key  key
-	held []held
+	key      key
+	holdings []holding
 }
 
-type held struct {
+// holding is the entry of one target for one part.
+type holding struct {
 	target string
 	since  time.Time
-	// tokens are those that the target is known to hold; unknown where it is
-	// only believed to hold the whole part.
+	// tokens is the number of tokens that the target reported to hold, or unknown if it has
+	// reported none and is assumed to hold the whole part.
 	tokens int64
-	// reading says that the target has been given the part to read.
+	// reading is true if the target was given the part to read and may not have read it yet.
 	reading bool
-	// kept says that the target is a store.
-	kept bool
+	// store is true if the target is a store rather than an engine.
+	store bool
 }
 
-// unknown tokens are as many as the part has.
+// unknown stands for the number of tokens of the whole part.
 const unknown = -1
 
-// New returns an empty memory.
+// New returns an empty table.
 func New() *Memory {
 	return &Memory{parts: map[key]*list.Element{}, order: list.New()}
 }
 
-// Note remembers that a target holds the parts now, which it has just read or
-// fetched.
+// Note records that a target has just read or fetched the parts and now holds them.
 func (m *Memory) Note(salt, target string, parts []*fleetv1.Part) {
-	m.all(salt, parts, held{target: target, since: time.Now(), tokens: unknown})
+	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown})
 }
 
-// Keep remembers that a store has been sent the parts. It drops the least
-// recently used when it is full, and does not tell.
+// Keep records that a store was sent the parts. A full store evicts the least recently used parts
+// without reporting it.
 func (m *Memory) Keep(salt, target string, parts []*fleetv1.Part) {
-	m.all(salt, parts, held{target: target, since: time.Now(), tokens: unknown, kept: true})
+	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown, store: true})
 }
 
-// Read remembers that a target has been given the parts to read. Requests that
-// need them too do best to follow them there; nobody can fetch them yet.
+// Read records that a target was given the parts to read. They cannot be fetched yet, but other
+// requests that need them are best sent to the same target.
 func (m *Memory) Read(salt, target string, parts []*fleetv1.Part) {
-	m.all(salt, parts, held{target: target, since: time.Now(), tokens: unknown, reading: true})
+	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown, reading: true})
 }
 
-func (m *Memory) all(salt string, parts []*fleetv1.Part, h held) {
+// noteAll records one holder for several parts.
+func (m *Memory) noteAll(salt string, parts []*fleetv1.Part, h holding) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, part := range parts {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Learn takes in what a target told of its cache.
+// Learn applies the cache changes that a target reported. A change to 0 tokens is an eviction.
 func (m *Memory) Learn(target string, changes []*fleetv1.Held) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,34 +123,36 @@
 	for _, change := range changes {
 		k := key{change.GetSalt(), change.GetPart()}
 		if change.GetTokens() > 0 {
-			m.note(k, held{target: target, since: now, tokens: change.GetTokens()})
+			m.note(k, holding{target: target, since: now, tokens: change.GetTokens()})
 		} else if element := m.parts[k]; element != nil {
 			m.drop(element, target)
 		}
 	}
 }
 
-// drop forgets one target of a part.
+// drop removes one target from the holders of a part.
 func (m *Memory) drop(element *list.Element, target string) {
 	r := element.Value.(*record)
-	before := len(r.held)
-	r.held = slices.DeleteFunc(r.held, func(h held) bool { return h.target == target })
-	m.held -= before - len(r.held)
+	before := len(r.holdings)
+	r.holdings = slices.DeleteFunc(r.holdings, func(h holding) bool { return h.target == target })
+	m.entries -= before - len(r.holdings)
 }
 
-// evict forgets the part that was not used for the longest time.
+// evict removes the part that was recorded least recently.
 func (m *Memory) evict() {
 	oldest := m.order.Back()
 	r := oldest.Value.(*record)
-	m.held -= len(r.held)
+	m.entries -= len(r.holdings)
 	delete(m.parts, r.key)
 	m.order.Remove(oldest)
 }
 
-func (m *Memory) note(k key, h held) {
+// note adds or updates a holder of a part. An entry that the part is being read does not replace
+// one that is still valid. A part with too many holders loses the one recorded longest ago.
+func (m *Memory) note(k key, h holding) {
 	element := m.parts[k]
 	if element == nil {
-		if m.order.Len() >= kept {
+		if m.order.Len() >= maxParts {
 			m.evict()
 		}
 		element = m.order.PushFront(&record{key: k})
@@ -156,55 +160,55 @@
 	}
 	m.order.MoveToFront(element)
 	r := element.Value.(*record)
-	for i := range r.held {
-		if r.held[i].target == h.target {
-			if !h.reading || r.held[i].since.Add(r.held[i].lasting()).Before(h.since) {
-				r.held[i] = h
+	for i := range r.holdings {
+		if r.holdings[i].target == h.target {
+			if !h.reading || r.holdings[i].since.Add(r.holdings[i].ttl()).Before(h.since) {
+				r.holdings[i] = h
 			}
 			return
 		}
 	}
-	if len(r.held) < holders {
-		r.held = append(r.held, h)
-		m.held++
-		for m.held > heldMost {
+	if len(r.holdings) < maxHolders {
+		r.holdings = append(r.holdings, h)
+		m.entries++
+		for m.entries > maxEntries {
 			m.evict()
 		}
 		return
 	}
 	oldest := 0
-	for i := range r.held {
-		if r.held[i].since.Before(r.held[oldest].since) {
+	for i := range r.holdings {
+		if r.holdings[i].since.Before(r.holdings[oldest].since) {
 			oldest = i
 		}
 	}
-	r.held[oldest] = h
+	r.holdings[oldest] = h
 }
 
-func (h held) lasting() time.Duration {
+// ttl returns how long the entry counts as valid.
+func (h holding) ttl() time.Duration {
 	switch {
 	case h.reading:
-		return given
-	case h.kept:
-		return keeping
+		return readingTTL
+	case h.store:
+		return storeTTL
 	case h.tokens == unknown:
-		return believed
+		return unconfirmedTTL
 	default:
-		return told
+		return reportedTTL
 	}
 }
 
-// Match is what a target holds of a prompt from its beginning.
+// Match is the prefix of a prompt that a target holds.
 type Match struct {
-	// Parts and Tokens are the length of the match.
+	// Parts is the number of whole parts in the prefix, and Tokens its length.
 	Parts  int
 	Tokens int64
-	// Read is the part of the tokens that has been read and can be fetched.
+	// Read is the number of leading tokens that have been read and can be fetched.
 	Read int64
 }
 
-// Matches returns for each target that holds the prompt's first part how far
-// its match goes.
+// Matches returns the match of each target that holds the beginning of the prompt.
 func (m *Memory) Matches(salt string, parts []*fleetv1.Part) map[string]Match {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -215,9 +219,9 @@
 		if element == nil {
 			return found
 		}
-		for _, h := range element.Value.(*record).held {
+		for _, h := range element.Value.(*record).holdings {
 			match := found[h.target]
-			if match.Parts != i || now.Sub(h.since) > h.lasting() {
+			if match.Parts != i || now.Sub(h.since) > h.ttl() {
 				continue
 			}
 			tokens := part.GetTokens()
@@ -237,83 +241,85 @@
 	return found
 }
 
-// Believe remembers what another process has heard of the parts, which may be old.
+// Believe merges a holder reported by another process, unless a more recent entry is known.
 func (m *Memory) Believe(holder *fleetv1.Holder, parts []*fleetv1.Part) {
-	h := held{
+	h := holding{
 		target: holder.GetTarget(), since: time.Now().Add(-holder.GetAge().AsDuration()), tokens: unknown,
-		reading: holder.GetReading(), kept: holder.GetStore(),
+		reading: holder.GetReading(), store: holder.GetStore(),
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, part := range parts {
 		k := key{holder.GetSalt(), part.GetId()}
-		if old, ok := m.of(k, h.target); ok && !old.since.Before(h.since) {
+		if old, ok := m.find(k, h.target); ok && !old.since.Before(h.since) {
 			continue
 		}
 		m.note(k, h)
 	}
 }
 
-// of returns what is remembered of one target of a part.
-func (m *Memory) of(k key, target string) (held, bool) {
+// find returns the entry of one target for a part.
+func (m *Memory) find(k key, target string) (holding, bool) {
 	if element := m.parts[k]; element != nil {
-		for _, h := range element.Value.(*record).held {
+		for _, h := range element.Value.(*record).holdings {
 			if h.target == target {
 				return h, true
 			}
 		}
 	}
-	return held{}, false
+	return holding{}, false
 }
 
-// Answer takes in a target's own word on what it holds of some parts.
+// Answer applies a target's reply to a query for the given parts. Parts missing from the reply are
+// removed, unless their entry is so recent that the reply may not cover it.
 func (m *Memory) Answer(target string, salts, parts []string, found []*fleetv1.Held) {
 	m.Learn(target, found)
-	has := map[key]bool{}
+	reported := map[key]bool{}
 	for _, f := range found {
-		has[key{f.GetSalt(), f.GetPart()}] = true
+		reported[key{f.GetSalt(), f.GetPart()}] = true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, salt := range salts {
 		for _, part := range parts {
 			k := key{salt, part}
-			if h, ok := m.of(k, target); ok && !has[k] && !h.fresh() {
+			if h, ok := m.find(k, target); ok && !reported[k] && !h.fresh() {
 				m.drop(m.parts[k], target)
 			}
 		}
 	}
 }
 
-// fresh says that the target's own word may not reach as far yet.
-func (h held) fresh() bool {
-	return h.reading && time.Since(h.since) < given || time.Since(h.since) < settled
+// fresh reports whether the entry is too recent for the target's reports to cover it.
+func (h holding) fresh() bool {
+	return h.reading && time.Since(h.since) < readingTTL || time.Since(h.since) < reportDelay
 }
 
-// Holders names who holds a part, or is about to, the newest first and at most so many.
-func (m *Memory) Holders(salt, part string, most int) []*fleetv1.Holder {
+// Holders returns the targets that hold a part or are reading it, the most recent first and at most
+// limit of them.
+func (m *Memory) Holders(salt, part string, limit int) []*fleetv1.Holder {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	element := m.parts[key{salt, part}]
 	if element == nil {
 		return nil
 	}
-	list := slices.Clone(element.Value.(*record).held)
-	slices.SortFunc(list, func(a, b held) int { return b.since.Compare(a.since) })
+	list := slices.Clone(element.Value.(*record).holdings)
+	slices.SortFunc(list, func(a, b holding) int { return b.since.Compare(a.since) })
 	var holders []*fleetv1.Holder
 	for _, h := range list {
 		age := time.Since(h.since)
-		if len(holders) == most || age > max(named, h.lasting()) || h.reading && age > given {
+		if len(holders) == limit || age > max(advertiseTTL, h.ttl()) || h.reading && age > readingTTL {
 			continue
 		}
 		holders = append(holders, &fleetv1.Holder{
-			Salt: salt, Target: h.target, Reading: h.reading, Age: durationpb.New(age), Store: h.kept,
+			Salt: salt, Target: h.target, Reading: h.reading, Age: durationpb.New(age), Store: h.store,
 		})
 	}
 	return holders
 }
 
-// Drop forgets that a target holds the parts.
+// Drop removes a target from the holders of the parts.
 func (m *Memory) Drop(salt, target string, parts []*fleetv1.Part) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -324,7 +330,7 @@
 	}
 }
 
-// Forget drops what a target held: it has started anew or changed its weights.
+// Forget removes a target from all parts, because it has restarted or changed its weights.
 func (m *Memory) Forget(target string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/placement/mtholder/holder_test.go
+++ b/internal/placement/mtholder/holder_test.go
@@ -16,8 +16,8 @@
 	return []*fleetv1.Part{{Id: "rules", Tokens: 100}, {Id: "dossier", Tokens: 200}, {Id: "own", Tokens: 50}}
 }
 
-// A match goes from the prompt's beginning as far as every part is held.
-func TestMatchFromTheBeginning(t *testing.T) {
+// A match is a prefix of the prompt: it ends at the first part that the target does not hold whole.
+func TestMatchIsAPrefix(t *testing.T) {
 	g := NewWithT(t)
 	m := mtholder.New()
 	m.Note("s", "a", parts()[:2])
@@ -30,8 +30,8 @@
 	g.Expect(m.Matches("other weights", parts())).To(BeEmpty())
 }
 
-// What an engine was given to read draws requests there, and can't be fetched.
-func TestReadingIsNoSource(t *testing.T) {
+// Parts that an engine is still reading count as a match but cannot be fetched from it.
+func TestPartsBeingReadCannotBeFetched(t *testing.T) {
 	g := NewWithT(t)
 	m := mtholder.New()
 	m.Note("s", "a", parts()[:1])
@@ -41,9 +41,9 @@
 	g.Expect(m.Matches("s", parts())["a"].Read).To(Equal(int64(300)))
 }
 
-// What was only believed fades within seconds; what the engine told lasts until
-// it tells that the part is gone, or starts anew.
-func TestBeliefFades(t *testing.T) {
+// An unconfirmed holder expires within seconds. One that the engine reported stays until it reports
+// the eviction or restarts.
+func TestUnconfirmedHolderExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		m := mtholder.New()
@@ -60,7 +60,7 @@
 	})
 }
 
-// More holders than are kept: the ones used last stay.
+// With more holders than the limit, the most recently recorded ones stay.
 func TestHoldersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -75,8 +75,8 @@
 	})
 }
 
-// Every engine of a large fleet holds thousands of parts: what is remembered stays
-// within a small instance's memory, and the parts used last stay.
+// Each engine of a large fleet holds thousands of parts. The table must fit the memory of a small
+// instance and keep the most recently recorded parts.
 func TestMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	m := mtholder.New()
@@ -86,11 +86,11 @@
 			m.Note("s", fmt.Sprint("e", engine), part(i))
 		}
 	}
-	kept := 0
+	entries := 0
 	for i := range 2000 {
-		kept += len(m.Matches("s", part(i)))
+		entries += len(m.Matches("s", part(i)))
 	}
-	g.Expect(kept).To(BeNumerically("<=", 4*16384))
+	g.Expect(entries).To(BeNumerically("<=", 4*16384))
 	g.Expect(m.Matches("s", part(1999))).To(HaveLen(64))
 	for engine := range 64 {
 		m.Forget(fmt.Sprint("e", engine))
