--- a/internal/placement/mtdirectory/directory.go
+++ b/internal/placement/mtdirectory/directory.go
@@ -1,15 +1,15 @@
-// Package mtdirectory keeps the holders of a share of all parts of prompts, for the whole
-// fleet.
+// Package mtdirectory is a distributed directory of the holders of prompt parts. Each process keeps
+// the holders of its share of the parts for the whole fleet.
 //
-// The load it answers is prompts that share long parts, at hundreds of entries and
-// engines. Told by each entry to the others, what is known of the parts takes most of the
-// fleet's bytes and still reaches few; known to nobody, each part is read anew in every
-// data centre. So each part has a keeper, by a hash over the live processes: entries tell
-// it what they have given an engine to read, and ask it before they choose. That costs by
-// requests, not by entries times engines.
+// Prompts share long parts, and they arrive at hundreds of entries in front of hundreds of engines. If
+// each entry broadcast what it knows of the parts, that would take most of the fleet's traffic and
+// still reach few of the others. If none shared it, each part would be read anew in every data
+// centre. Therefore a hash over the live processes assigns each part a keeper: entries notify it of
+// the parts that they have given an engine to read, and query it before they choose a target. The
+// cost grows with the number of requests, not with entries times engines.
 //
-// All of it is a hint. A keeper that is gone costs knowledge, which the next requests
-// bring back; and before an engine is relied on, its sidecar is asked.
+// All entries are hints. If a keeper dies, its knowledge is lost until later requests rebuild it.
+// Before an engine is relied on, its sidecar is asked.
 package mtdirectory
 
 import (
@@ -18,21 +18,22 @@
 )
 
 const (
-	// most bounds the holders that are named for one salt, and salts those of one
-	// question: with 40 bytes each they fit a datagram, and nobody asks more of them.
-	most  = 6
-	salts = 3
+	// maxHolders limits the holders returned for one salt, and maxSalts the salts of one query. At
+	// 40 bytes each the holders fit a datagram, and no caller asks more targets than that.
+	maxHolders = 6
+	maxSalts   = 3
 )
 
-// Directory is one process's share. It is safe for concurrent use.
+// Directory is the share of one process. It is safe for concurrent use.
 type Directory struct {
 	holders *mtholder.Memory
 }
 
-// New returns an empty one.
+// New returns an empty directory.
 func New() *Directory { return &Directory{holders: mtholder.New()} }
 
-// Take takes in what an entry has given an engine to read.
+// Take records the parts that an entry has given an engine to read, or that the engine has read, and
+// the store that was sent them, if any.
 func (d *Directory) Take(notice *fleetv1.Notice) {
 	if store := notice.GetStore(); store != "" {
 		d.holders.Keep(notice.GetSalt(), store, notice.GetParts())
@@ -44,11 +45,11 @@
 	d.holders.Read(notice.GetSalt(), notice.GetTarget(), notice.GetParts())
 }
 
-// Answer answers a question.
-func (d *Directory) Answer(seek *fleetv1.Seek) *fleetv1.Sought {
-	sought := &fleetv1.Sought{Ask: seek.GetAsk()}
-	for _, salt := range seek.GetSalts()[:min(salts, len(seek.GetSalts()))] {
-		sought.Holders = append(sought.Holders, d.holders.Holders(salt, seek.GetPart(), most)...)
+// Answer returns the known holders of the part that an entry looks up.
+func (d *Directory) Answer(query *fleetv1.Seek) *fleetv1.Sought {
+	result := &fleetv1.Sought{Ask: query.GetAsk()}
+	for _, salt := range query.GetSalts()[:min(maxSalts, len(query.GetSalts()))] {
+		result.Holders = append(result.Holders, d.holders.Holders(salt, query.GetPart(), maxHolders)...)
 	}
-	return sought
+	return result
 }
--- a/internal/placement/mtdirectory/directory_test.go
+++ b/internal/placement/mtdirectory/directory_test.go
@@ -18,19 +18,19 @@
 
 var pool = &fleetv1.Service{Name: "pool", Model: "m", Slots: 16}
 
-// places are data centres.
-var places = []string{"north", "south", "east", "west", "centre"}
+// datacentres are the names of the simulated data centres.
+var datacentres = []string{"north", "south", "east", "west", "centre"}
 
-// fleet is some entries' boards over engines in several data centres, whose sidecars
-// answer and keep the directory.
+// fleet simulates the boards of some entries and engines in several data centres. The sidecars of the
+// engines answer queries and keep the directory.
 type fleet struct {
 	boards  []*mtboard.Board
 	list    map[string]*fleetv1.Target
 	targets []*fleetv1.Target
-	// held are the parts that each engine has read.
+	// held maps the parts that each engine has read to their number of tokens.
 	held        []map[string]int64
 	directories []*mtdirectory.Directory
-	// gone are sidecars that have died.
+	// gone is the set of targets whose sidecars have died.
 	gone map[string]bool
 }
 
@@ -39,7 +39,7 @@
 	list := map[string]*fleetv1.Target{}
 	for i := range engines {
 		target := &fleetv1.Target{
-			Id: fmt.Sprint("e", i), Service: "pool", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200), Datacentre: places[i%len(places)],
+			Id: fmt.Sprint("e", i), Service: "pool", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200), Datacentre: datacentres[i%len(datacentres)],
 			Slots: 16, Models: []*fleetv1.Weights{{Model: "m", Version: 1}},
 		}
 		list[target.GetId()] = target
@@ -49,31 +49,32 @@
 	}
 	f.list = list
 	for i := range entries {
-		f.boards = append(f.boards, f.board(places[i%len(places)]))
+		f.boards = append(f.boards, f.board(datacentres[i%len(datacentres)]))
 	}
-	f.greet()
+	f.heartbeatAll()
 	return f
 }
 
-// board is that of an entry in a data centre.
-func (f *fleet) board(place string) *mtboard.Board {
-	b := mtboard.New(place, 8*time.Second, mtlimiter.New("", mtlimit.New()))
+// board returns the board of a new entry in a data centre.
+func (f *fleet) board(datacentre string) *mtboard.Board {
+	b := mtboard.New(datacentre, 8*time.Second, mtlimiter.New("", mtlimit.New()))
 	b.List(f.list, func(*fleetv1.Target) bool { return false })
 	b.Name(&fleetv1.Weights{Model: "m", Version: 1, Revision: 1})
 	return b
 }
 
-// greet lets every entry hear every sidecar that lives.
-func (f *fleet) greet() {
+// heartbeatAll delivers heartbeats of all live sidecars to every entry.
+func (f *fleet) heartbeatAll() {
 	for _, b := range f.boards {
-		f.greetFrom(b, "")
+		f.heartbeats(b, "")
 	}
 }
 
-// greetFrom lets an entry hear the sidecars of one data centre, "" for all.
-func (f *fleet) greetFrom(b *mtboard.Board, place string) {
+// heartbeats delivers heartbeats of the live sidecars of a data centre, or of all for "", to one
+// entry.
+func (f *fleet) heartbeats(b *mtboard.Board, datacentre string) {
 	for _, target := range f.targets {
-		if !f.gone[target.GetId()] && (place == "" || target.GetDatacentre() == place) {
+		if !f.gone[target.GetId()] && (datacentre == "" || target.GetDatacentre() == datacentre) {
 			b.Hear(&fleetv1.State{Target: target.GetId(), Answers: true, Report: &fleetv1.Report{
 				Models: []*fleetv1.Weights{{Model: "m", Version: 1}}, Total: 70000, Born: 1,
 			}})
@@ -81,6 +82,7 @@
 	}
 }
 
+// number returns the index of a target.
 func (f *fleet) number(id string) int {
 	for i, target := range f.targets {
 		if target.GetId() == id {
@@ -90,8 +92,8 @@
 	panic(id)
 }
 
-// ask lets an entry hear a sidecar's answer.
-func (f *fleet) ask(b *mtboard.Board, q *mtboard.Query, target *fleetv1.Target) {
+// query sends a query of an entry to a sidecar and delivers the answer; a dead one does not answer.
+func (f *fleet) query(b *mtboard.Board, q *mtboard.Query, target *fleetv1.Target) {
 	if f.gone[target.GetId()] {
 		b.Silent(q, target.GetId())
 		return
@@ -106,8 +108,8 @@
 	b.Answered(q, target.GetId(), salts, found)
 }
 
-// send lets an entry serve one prompt, and returns the shared tokens that are read
-// although an engine of the fleet has them.
+// send serves one prompt through an entry. It returns the number of shared tokens that are read
+// although an engine of the fleet holds them.
 func (f *fleet) send(entry int, ask *fleetv1.Ask, directory bool) int64 {
 	b := f.boards[entry]
 	q := mtboard.NewQuery(pool, ask, nil, "", 800*time.Millisecond)
@@ -116,7 +118,7 @@
 	}
 	choice := b.Choose(q)
 	engine := f.number(choice.Target())
-	var again int64
+	var reread int64
 	for _, part := range ask.GetParts()[:len(ask.GetParts())-1] {
 		kept := f.held[engine][part.GetId()] > 0
 		fetched := false
@@ -125,7 +127,7 @@
 		}
 		for _, held := range f.held {
 			if !kept && !fetched && held[part.GetId()] > 0 {
-				again += part.GetTokens()
+				reread += part.GetTokens()
 				break
 			}
 		}
@@ -136,10 +138,10 @@
 	if directory {
 		f.notify(b, q, choice)
 	}
-	return again
+	return reread
 }
 
-// lookUp lets an entry hear who holds a prompt's parts.
+// lookUp queries the directory for the holders of a prompt's parts, and then their sidecars.
 func (f *fleet) lookUp(b *mtboard.Board, q *mtboard.Query) {
 	for _, part := range b.Lookups(q) {
 		for _, keeper := range b.Keepers(q, part, time.Second) {
@@ -152,11 +154,11 @@
 		}
 	}
 	for _, target := range b.Holders(q, 3) {
-		f.ask(b, q, target)
+		f.query(b, q, target)
 	}
 }
 
-// notify tells the keepers of a prompt's parts which engine has read them.
+// notify reports to the keepers of a prompt's parts which engine has read them.
 func (f *fleet) notify(b *mtboard.Board, q *mtboard.Query, choice *mtboard.Choice) {
 	for _, part := range b.Lookups(q) {
 		for _, target := range b.Keepers(q, part, time.Second) {
@@ -169,82 +171,83 @@
 	}
 }
 
-// play sends prompts of some dossiers through entries drawn at random, and returns the
-// share of the shared tokens that is read again. Some sidecars die after a third of them.
-func play(directory bool, die int) float64 {
+// simulate sends prompts with a number of shared documents through randomly drawn entries. After a
+// third of the prompts the sidecars of the first deaths targets die. It returns the fraction of the
+// shared tokens that is read again.
+func simulate(directory bool, deaths int) float64 {
 	const entries, engines, dossiers, prompts = 20, 60, 150, 1500
 	f := newFleet(entries, engines)
 	random := rand.New(rand.NewPCG(1, 1))
-	var again, shared int64
+	var reread, shared int64
 	for i := range prompts {
 		time.Sleep(5 * time.Millisecond)
 		if i%100 == 0 {
-			f.greet()
+			f.heartbeatAll()
 		}
 		if i == prompts/3 {
-			for _, target := range f.targets[:die] {
+			for _, target := range f.targets[:deaths] {
 				f.gone[target.GetId()] = true
 			}
 		}
 		ask := &fleetv1.Ask{Model: "m", Prompt: 9000, Output: 20, Parts: []*fleetv1.Part{
 			{Id: "rules", Tokens: 2500}, {Id: fmt.Sprint("dossier", random.IntN(dossiers)), Tokens: 3700}, {Id: fmt.Sprint("own", i), Tokens: 2800},
 		}}
-		again += f.send(random.IntN(entries), ask, directory)
+		reread += f.send(random.IntN(entries), ask, directory)
 		shared += 6200
 	}
-	return float64(again) / float64(shared)
+	return float64(reread) / float64(shared)
 }
 
-// Each of many entries serves a few of a dossier's requests, and sees none of the
-// others'. What one engine had read was read again in each data centre, at nearly every
-// entry. Asked for, its holders are known to all.
-func TestPartsAreFoundAcrossTheFleet(t *testing.T) {
+// Failure: each of many entries serves few of the requests for a document and does not see the
+// others', so that parts that one engine had read were read again in each data centre, at nearly
+// every entry. With the directory every entry finds the holders.
+func TestHoldersAreFoundAcrossTheFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		before, after := play(false, 0), play(true, 0)
-		t.Logf("read again without the directory %.3f, with %.3f", before, after)
+		before, after := simulate(false, 0), simulate(true, 0)
+		t.Logf("fraction of shared tokens read again: %.3f without the directory, %.3f with it", before, after)
 		g.Expect(after).To(BeNumerically("<", 0.03))
 		g.Expect(before).To(BeNumerically(">", 3*after))
 	})
 }
 
-// Failure: in a fleet of hundreds each entry hears of its own data centre's engines only,
-// and serves a prompt so seldom that it forgets who holds the part that most prompts begin
-// with. Every prompt of its own kind read that part anew.
+// Failure: in a fleet of hundreds of engines each entry receives heartbeats from its own data centre
+// only, and serves a prompt so rarely that it forgets who holds the part that most prompts begin
+// with. Each prompt that was otherwise unique read that part anew.
 func TestFirstPartIsFoundInALargeFleet(t *testing.T) {
-	const entries, engines, prompts, firsts = 150, 300, 600, 4
+	const entries, engines, prompts, firstParts = 150, 300, 600, 4
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(0, engines)
 		for i := range entries {
-			f.boards = append(f.boards, f.board(places[i%len(places)]))
+			f.boards = append(f.boards, f.board(datacentres[i%len(datacentres)]))
 		}
 		random := rand.New(rand.NewPCG(2, 2))
-		var again, shared int64
+		var reread, shared int64
 		for i := range prompts {
 			time.Sleep(20 * time.Millisecond)
 			entry := random.IntN(entries)
-			f.greetFrom(f.boards[entry], places[entry%len(places)])
+			f.heartbeats(f.boards[entry], datacentres[entry%len(datacentres)])
 			ask := &fleetv1.Ask{Model: "m", Prompt: 9000, Output: 20, Parts: []*fleetv1.Part{
-				{Id: fmt.Sprint("rules", random.IntN(firsts)), Tokens: 2500}, {Id: fmt.Sprint("dossier", i), Tokens: 3700}, {Id: fmt.Sprint("own", i), Tokens: 2800},
+				{Id: fmt.Sprint("rules", random.IntN(firstParts)), Tokens: 2500}, {Id: fmt.Sprint("dossier", i), Tokens: 3700}, {Id: fmt.Sprint("own", i), Tokens: 2800},
 			}}
-			again += f.send(entry, ask, true)
+			reread += f.send(entry, ask, true)
 			shared += 2500
 		}
-		share := float64(again) / float64(shared)
-		t.Logf("of the first parts' tokens read again %.3f", share)
+		share := float64(reread) / float64(shared)
+		t.Logf("fraction of the first parts' tokens read again: %.3f", share)
 		NewWithT(t).Expect(share).To(BeNumerically("<", 0.05))
 	})
 }
 
-// A third of the keepers die at once: what they knew is known again by the requests that
-// follow, from the second keeper of each part or anew, and no request is lost.
-func TestKeepersDie(t *testing.T) {
+// A third of the keepers die at once. What they knew is recovered by the requests that follow, from
+// the second keeper of each part or by reading anew, and no request fails.
+func TestDeadKeepersAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		NewWithT(t).Expect(play(true, 20)).To(BeNumerically("<", 0.06))
+		NewWithT(t).Expect(simulate(true, 20)).To(BeNumerically("<", 0.06))
 	})
 }
 
-// A question of any size gets an answer that fits a datagram.
+// The answer fits a datagram however many salts are queried.
 func TestAnswersAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	d := mtdirectory.New()
