--- a/internal/placement/mtdeparture/departures.go
+++ b/internal/placement/mtdeparture/departures.go
@@ -1,66 +1,66 @@
 // Package mtdeparture tracks targets that have announced their shutdown in an answer.
 //
 // The announcement overrides the target's entry in the store and its sidecar's reports,
-// which may lag behind. It is dropped only when a program with a later start time uses
-// the same id.
+// which may lag behind. It is dropped only when a program with a later start time uses the same id.
 package mtdeparture
 
 import "time"
 
-// most bounds the number of targets that are tracked.
-const most = 4096
+// maxTargets limits the number of targets that are tracked; beyond it the oldest is dropped.
+const maxTargets = 4096
 
 // Departures are the announcements seen by one process. It is not safe for concurrent use.
 type Departures struct {
 	targets map[string]departure
 }
 
-// departure is one target's; born is the start of the program that leaves in Unix
-// milliseconds, 0 where it is not known.
+// departure is the announcement of one target. born is the start time of the departing program in
+// Unix milliseconds, 0 if unknown; announced is when this process learned of it.
 type departure struct {
-	born  int64
-	heard time.Time
+	born      int64
+	announced time.Time
 }
 
-// New returns a list of none.
+// New returns an empty set of departures.
 func New() *Departures { return &Departures{targets: map[string]departure{}} }
 
-// Add records that a target leaves, and when its program was started, 0 for unknown. It
-// reports whether that is news.
+// Add records the departure of a target whose program started at born, 0 if unknown. It reports
+// whether the departure is new.
 func (d *Departures) Add(target string, born int64) bool {
 	if d.Has(target) {
 		return false
 	}
-	if len(d.targets) == most {
+	if len(d.targets) == maxTargets {
 		delete(d.targets, d.oldest())
 	}
 	d.targets[target] = departure{born, time.Now()}
 	return true
 }
 
+// oldest returns the target whose departure was recorded first.
 func (d *Departures) oldest() string {
 	oldest := ""
 	for target, departure := range d.targets {
-		if oldest == "" || departure.heard.Before(d.targets[oldest].heard) {
+		if oldest == "" || departure.announced.Before(d.targets[oldest].announced) {
 			oldest = target
 		}
 	}
 	return oldest
 }
 
-// Has says that the target leaves or has left.
+// Has reports whether the target is departing or has departed.
 func (d *Departures) Has(target string) bool {
-	_, leaves := d.targets[target]
-	return leaves
+	_, departing := d.targets[target]
+	return departing
 }
 
-// Started takes in when a target's program was started, 0 for unknown. A later start than
-// that of the leaving program is another program's. Where that is unknown, the first start
-// reported is taken for it.
+// Started records when a target's program started, 0 if unknown. A start later than that of the
+// departing program belongs to another program and clears the departure. If the start of the departing
+// program is unknown, the first start reported is assumed to be its own.
 func (d *Departures) Started(target string, born int64) {
-	known, leaves := d.targets[target]
+	known, departing := d.targets[target]
 	switch {
-	case !leaves || born == 0:
+	case !departing || born == 0:
 	case known.born == 0:
 		known.born = born
 		d.targets[target] = known
--- a/internal/placement/mtdeparture/departures_test.go
+++ b/internal/placement/mtdeparture/departures_test.go
@@ -11,9 +11,8 @@
 	"github.com/mustardtide/mustardtide/internal/placement/mtdeparture"
 )
 
-// Failure: news of the start of the program that leaves, told late or again, takes back
-// its word.
-func TestOnlyALaterStartTakesBackALeave(t *testing.T) {
+// Failure: a late or repeated report of the departing program's own start clears its departure.
+func TestOnlyALaterStartClearsADeparture(t *testing.T) {
 	g := NewWithT(t)
 	d := mtdeparture.New()
 	g.Expect(d.Add("a", 100)).To(BeTrue())
@@ -27,9 +26,9 @@
 	g.Expect(d.Add("a", 101)).To(BeTrue())
 }
 
-// Failure: a target whose start was not known when it said that it leaves is used again
-// once its start is told.
-func TestFirstStartIsThatOfTheProgramThatLeaves(t *testing.T) {
+// Failure: a target whose start was unknown when it announced its departure is used again once its
+// start is reported.
+func TestFirstReportedStartIsTheDepartingProgram(t *testing.T) {
 	g := NewWithT(t)
 	d := mtdeparture.New()
 	d.Add("a", 0)
@@ -39,8 +38,8 @@
 	g.Expect(d.Has("a")).To(BeFalse())
 }
 
-// Failure: targets that left long ago fill the memory of a process that runs for weeks.
-func TestOldestDepartureIsForgotten(t *testing.T) {
+// Failure: targets that departed long ago fill the memory of a process that runs for weeks.
+func TestOldestDepartureIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		d := mtdeparture.New()
