--- a/internal/placement/mtdemote/demote.go
+++ b/internal/placement/mtdemote/demote.go
@@ -1,13 +1,13 @@
-// Package mtdemote finds targets that run behind their fleet.
+// Package mtdemote detects targets that are slower than the rest of their fleet and demotes them.
 //
-// It answers the slow target: one with a failing accelerator or a cold start
-// answers each probe as the others do, so that queue lengths alone keep sending
-// it a full share and every request that lands there shapes the tail.
+// A target with a failing accelerator or a cold start answers each probe like the others, so that
+// balancing by queue length alone keeps sending it a full share, and its requests dominate the tail
+// latency.
 //
-// A target's slowness is its time to the first token over the time that its
-// queue and the prompt made expect at the fleet's rate. Only targets far from the fleet's median are demoted and
-// never more than a share of the fleet, since a whole fleet that is slow is
-// overload. A demoted target keeps getting a trickle, which finds its recovery.
+// The slowness of a target is its time to first token divided by the time expected from its queue and
+// the prompt at the fleet's mean rate. Only targets far from the fleet's median are demoted, and never
+// more than a share of the fleet, since a fleet that is slow as a whole is overloaded. A demoted
+// target still gets a few requests, which reveal its recovery.
 package mtdemote
 
 import (
@@ -19,57 +19,57 @@
 )
 
 const (
-	// halfLife is the time in which an average wears off by half without answers:
-	// long enough for two probes.
+	// halfLife is the time in which an average above 1 decays half of the way to 1 without
+	// answers. It is long enough for two probes.
 	halfLife = time.Minute
-	// gain is the share of one answer: a target at a fifth of its speed is found
-	// after four, and one late answer among sound ones does not demote.
+	// gain is the weight of one answer: a target at a fifth of its normal speed is detected after
+	// four answers, and a single late answer does not demote.
 	gain = 0.2
-	// reviewEvery bounds the sorting of the fleet, 0.2 ms at 2,700 targets.
+	// reviewEvery is the least time between two sorts of the fleet, 0.2 ms each at 2,700 targets.
 	reviewEvery = time.Second
-	// behind is how far from the median a target is demoted. Batches and
-	// chunked prefill spread healthy targets by up to a factor of two.
-	behind = 2
-	// most is the largest share of the fleet that is demoted.
-	most = 0.25
-	// trickle is the time between an entry's probes of a demoted target: from
-	// three entries 0.1 a second, too few to shape the 99th percentile of the 9
-	// requests a second of the smallest fleet.
-	trickle = 30 * time.Second
-	// ceiling bounds one answer's weight: below the answer that alone would
-	// demote a target, 1 + behind / gain.
-	ceiling = 6
-	// slowStart is the time in which a target that started anew grows from
-	// coldFactor to its full share: its caches are empty and its first prompts
-	// all compute.
+	// demoteRatio is the ratio to the median above which a target is demoted. Batches and chunked
+	// prefill spread healthy targets by up to a factor of two.
+	demoteRatio = 2
+	// maxShare is the largest share of the fleet that is demoted.
+	maxShare = 0.25
+	// probeInterval is the time between the probes of a demoted target by one entry. Three entries
+	// make 0.1 probes per second, too few to affect the 99th percentile of the 9 requests per
+	// second of the smallest fleet.
+	probeInterval = 30 * time.Second
+	// maxRatio limits the ratio of one answer. It stays below the one at which a single answer
+	// would demote a target, 1 + demoteRatio / gain.
+	maxRatio = 6
+	// slowStart is the time in which the factor of a restarted target falls from coldFactor to 1.
+	// Its caches are empty and its first prompts are all computed.
 	slowStart  = 10 * time.Second
 	coldFactor = 2
 )
 
-// pace is one target's record. Requests use it without a lock.
+// pace is the record of one target. Requests use it without a lock. average and factor hold the bits of
+// a float64, the others Unix times in nanoseconds.
 type pace struct {
-	average atomic.Uint64
-	seen    atomic.Int64
-	factor  atomic.Uint64
-	probed  atomic.Int64
-	started atomic.Int64
+	average  atomic.Uint64
+	observed atomic.Int64
+	factor   atomic.Uint64
+	probed   atomic.Int64
+	started  atomic.Int64
 }
 
-// Demote holds the paces of an entry's targets. It is safe for concurrent use.
+// Demote tracks the speed of an entry's targets. It is safe for concurrent use.
 type Demote struct {
 	mu       sync.Mutex
 	paces    atomic.Pointer[map[uint32]*pace]
 	reviewed atomic.Int64
 }
 
-// New returns a state in which no target is slow.
+// New returns a Demote without targets.
 func New() *Demote {
 	d := &Demote{}
 	d.paces.Store(&map[uint32]*pace{})
 	return d
 }
 
-// Keep forgets the targets that are not among ids and adds those that are new.
+// Keep removes the targets that are not among ids and adds those that are new.
 func (d *Demote) Keep(ids []uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,47 +86,46 @@
 	d.paces.Store(&next)
 }
 
-// Start notes that a target's program started anew.
+// Start records that a target's program restarted.
 func (d *Demote) Start(id uint32) {
 	if p := (*d.paces.Load())[id]; p != nil {
 		p.started.Store(time.Now().UnixNano())
 	}
 }
 
-// Observe takes in a first token that came after took where expected was
-// forecast.
+// Observe records that a first token came after took, where expected was the estimate.
 func (d *Demote) Observe(id uint32, took, expected time.Duration) {
 	p := (*d.paces.Load())[id]
 	if p == nil {
 		return
 	}
 	now := time.Now()
-	p.observe(now, min(ceiling, float64(took)/float64(max(expected, time.Millisecond))))
+	p.observe(now, min(maxRatio, float64(took)/float64(max(expected, time.Millisecond))))
 	last := d.reviewed.Load()
 	if now.UnixNano()-last >= int64(reviewEvery) && d.reviewed.CompareAndSwap(last, now.UnixNano()) {
 		d.review(now)
 	}
 }
 
-// observe moves the average. Two racing observations may lose one: it is an
-// average.
+// observe updates the average. Of two concurrent observations one may be lost, which an average
+// tolerates.
 func (p *pace) observe(now time.Time, ratio float64) {
-	average := p.now(now)
+	average := p.averageAt(now)
 	p.average.Store(math.Float64bits(average + (ratio-average)*gain))
-	p.seen.Store(now.UnixNano())
+	p.observed.Store(now.UnixNano())
 }
 
-// now is the average worn off towards 1 since the last observation.
-func (p *pace) now(now time.Time) float64 {
+// averageAt returns the average decayed towards 1 since the last observation.
+func (p *pace) averageAt(now time.Time) float64 {
 	average := math.Float64frombits(p.average.Load())
 	if average <= 1 {
 		return average
 	}
-	halves := float64(now.UnixNano()-p.seen.Load()) / float64(halfLife)
+	halves := float64(now.UnixNano()-p.observed.Load()) / float64(halfLife)
 	return 1 + (average-1)*math.Exp2(-halves)
 }
 
-// review sets the factors of the whole fleet.
+// review updates the factors of all targets.
 func (d *Demote) review(now time.Time) {
 	paces := *d.paces.Load()
 	type entry struct {
@@ -135,7 +134,7 @@
 	}
 	order := make([]entry, 0, len(paces))
 	for id, p := range paces {
-		order = append(order, entry{id: id, average: p.now(now)})
+		order = append(order, entry{id: id, average: p.averageAt(now)})
 	}
 	slices.SortFunc(order, func(a, b entry) int {
 		switch {
@@ -148,18 +147,18 @@
 		}
 	})
 	median := max(1, order[len(order)/2].average)
-	allowed := int(float64(len(order)) * most)
+	maxDemoted := int(float64(len(order)) * maxShare)
 	for i, e := range order {
 		factor := 1.0
-		if i < allowed && e.average > behind*median {
+		if i < maxDemoted && e.average > demoteRatio*median {
 			factor = e.average / median
 		}
 		paces[e.id].factor.Store(math.Float64bits(factor))
 	}
 }
 
-// Slowness is the factor by which a target's waits and computing are to be
-// counted: 1, or more for a target that is demoted or has just started.
+// Slowness returns the factor by which the waits and the computing time of a target are multiplied: 1,
+// or more for a target that is demoted or has just restarted.
 func (d *Demote) Slowness(id uint32) float64 {
 	p := (*d.paces.Load())[id]
 	if p == nil {
@@ -177,19 +176,18 @@
 	return max(factor, coldFactor-(coldFactor-1)*age)
 }
 
-// Demoted says that a target is far behind its fleet.
+// Demoted reports whether a target is demoted.
 func (d *Demote) Demoted(id uint32) bool {
 	p := (*d.paces.Load())[id]
 	return p != nil && math.Float64frombits(p.factor.Load()) > 1
 }
 
-// Probe says that a demoted target's next trial is due, and counts it as
-// taken.
+// Probe reports whether a probe of a demoted target is due, and if so counts it as made.
 func (d *Demote) Probe(id uint32) bool {
 	p := (*d.paces.Load())[id]
 	if p == nil {
 		return false
 	}
 	now, last := time.Now().UnixNano(), p.probed.Load()
-	return now-last >= int64(trickle) && p.probed.CompareAndSwap(last, now)
+	return now-last >= int64(probeInterval) && p.probed.CompareAndSwap(last, now)
 }
