--- a/internal/placement/mtdemote/demote.go
+++ b/internal/placement/mtdemote/demote.go
@@ -62,7 +62,7 @@
 	reviewed atomic.Int64
 }
 
-// New returns a Demote without targets.
+// New returns a detector without targets.
 func New() *Demote {
 	d := &Demote{}
 	d.paces.Store(&map[uint32]*pace{})
--- a/internal/placement/mtdirectory/directory_test.go
+++ b/internal/placement/mtdirectory/directory_test.go
@@ -172,8 +172,8 @@
 }
 
 // simulate sends prompts with a number of shared documents through randomly drawn entries. After a
-// third of the prompts the sidecars of the first deaths targets die. It returns the fraction of the
-// shared tokens that is read again.
+// third of the prompts the sidecars of some targets die, as many as deaths. It returns the fraction
+// of the shared tokens that is read again.
 func simulate(directory bool, deaths int) float64 {
 	const entries, engines, dossiers, prompts = 20, 60, 150, 1500
 	f := newFleet(entries, engines)
--- a/internal/placement/mtnaming/naming.go
+++ b/internal/placement/mtnaming/naming.go
@@ -117,7 +117,7 @@
 }
 
 // Uncertain reports whether no process observed the naming of some version newer than number. That
-// version may be much older than Behind suggests.
+// version may have been named much earlier than its age suggests.
 func (n *Naming) Uncertain(number int64) bool {
 	return slices.ContainsFunc(n.versions, func(v version) bool { return v.number > number && !v.certain })
 }
--- a/internal/placement/mtplace/place.go
+++ b/internal/placement/mtplace/place.go
@@ -51,7 +51,7 @@
 	lastID uint32
 }
 
-// New returns a Place without targets for an entry in the given data centre. The seed determines
+// New returns a chooser without targets for an entry in the given data centre. The seed determines
 // which targets it samples.
 func New(datacentre string, seed uint64) *Place {
 	p := &Place{
--- a/internal/placement/mtspeed/speed.go
+++ b/internal/placement/mtspeed/speed.go
@@ -20,8 +20,8 @@
 // Term is one component of the time to first token, which is the sum of all terms.
 type Term int
 
-// The terms: Start is the fixed cost of a request, Read the time to read (prefill) one token,
-// Begin the fixed cost of a fetch, and Fetch the time to transfer one token.
+// The terms are, in this order: the fixed cost of a request, the time to read (prefill) one token, the
+// fixed cost of a fetch, and the time to transfer one token.
 const (
 	Start Term = iota
 	Read
