--- a/internal/placement/mtdemote/demote.go
+++ b/internal/placement/mtdemote/demote.go
@@ -4,10 +4,10 @@
 // balancing by queue length alone keeps sending it a full share, and its requests dominate the tail
 // latency.
 //
-// The slowness of a target is its time to first token divided by the time expected from its queue and
-// the prompt at the fleet's mean rate. Only targets far from the fleet's median are demoted, and never
-// more than a share of the fleet, since a fleet that is slow as a whole is overloaded. A demoted
-// target still gets a few requests, which reveal its recovery.
+// The slowness of a target is its time to first token divided by the time expected from its queue
+// and the prompt at the fleet's mean rate. Only targets far from the fleet's median are demoted,
+// and never more than a share of the fleet, since a fleet that is slow as a whole is overloaded. A
+// demoted target still gets a few requests, which reveal its recovery.
 package mtdemote
 
 import (
@@ -45,8 +45,8 @@
 	coldFactor = 2
 )
 
-// pace is the record of one target. Requests use it without a lock. average and factor hold the bits of
-// a float64, the others Unix times in nanoseconds.
+// pace is the record of one target. Requests use it without a lock. average and factor hold the
+// bits of a float64, the others Unix times in nanoseconds.
 type pace struct {
 	average  atomic.Uint64
 	observed atomic.Int64
@@ -157,8 +157,8 @@
 	}
 }
 
-// Slowness returns the factor by which the waits and the computing time of a target are multiplied: 1,
-// or more for a target that is demoted or has just restarted.
+// Slowness returns the factor by which the waits and the computing time of a target are multiplied:
+// 1, or more for a target that is demoted or has just restarted.
 func (d *Demote) Slowness(id uint32) float64 {
 	p := (*d.paces.Load())[id]
 	if p == nil {
--- a/internal/placement/mtdeparture/departures.go
+++ b/internal/placement/mtdeparture/departures.go
@@ -55,8 +55,8 @@
 }
 
 // Started records when a target's program started, 0 if unknown. A start later than that of the
-// departing program belongs to another program and clears the departure. If the start of the departing
-// program is unknown, the first start reported is assumed to be its own.
+// departing program belongs to another program and clears the departure. If the start of the
+// departing program is unknown, the first start reported is assumed to be its own.
 func (d *Departures) Started(target string, born int64) {
 	known, departing := d.targets[target]
 	switch {
--- a/internal/placement/mtdirectory/directory.go
+++ b/internal/placement/mtdirectory/directory.go
@@ -1,14 +1,14 @@
 // Package mtdirectory is a distributed directory of the holders of prompt parts. Each process keeps
 // the holders of its share of the parts for the whole fleet.
 //
-// Prompts share long parts, and they arrive at hundreds of entries in front of hundreds of engines. If
-// each entry broadcast what it knows of the parts, that would take most of the fleet's traffic and
-// still reach few of the others. If none shared it, each part would be read anew in every data
+// Prompts share long parts, and they arrive at hundreds of entries in front of hundreds of engines.
+// If each entry broadcast what it knows of the parts, that would take most of the fleet's traffic
+// and still reach few of the others. If none shared it, each part would be read anew in every data
 // centre. Therefore a hash over the live processes assigns each part a keeper: entries notify it of
 // the parts that they have given an engine to read, and query it before they choose a target. The
 // cost grows with the number of requests, not with entries times engines.
 //
-// All entries are hints. If a keeper dies, its knowledge is lost until later requests rebuild it.
+// All of this is a hint. If a keeper dies, its knowledge is lost until later requests rebuild it.
 // Before an engine is relied on, its sidecar is asked.
 package mtdirectory
 
@@ -32,8 +32,8 @@
 // New returns an empty directory.
 func New() *Directory { return &Directory{holders: mtholder.New()} }
 
-// Take records the parts that an entry has given an engine to read, or that the engine has read, and
-// the store that was sent them, if any.
+// Take records the parts that an entry has given an engine to read, or that the engine has read,
+// and the store that was sent them, if any.
 func (d *Directory) Take(notice *fleetv1.Notice) {
 	if store := notice.GetStore(); store != "" {
 		d.holders.Keep(notice.GetSalt(), store, notice.GetParts())
--- a/internal/placement/mtdirectory/directory_test.go
+++ b/internal/placement/mtdirectory/directory_test.go
@@ -21,8 +21,8 @@
 // datacentres are the names of the simulated data centres.
 var datacentres = []string{"north", "south", "east", "west", "centre"}
 
-// fleet simulates the boards of some entries and engines in several data centres. The sidecars of the
-// engines answer queries and keep the directory.
+// fleet simulates the boards of some entries and engines in several data centres. The sidecars of
+// the engines answer queries and keep the directory.
 type fleet struct {
 	boards  []*mtboard.Board
 	list    map[string]*fleetv1.Target
@@ -211,9 +211,9 @@
 	})
 }
 
-// Failure: in a fleet of hundreds of engines each entry receives heartbeats from its own data centre
-// only, and serves a prompt so rarely that it forgets who holds the part that most prompts begin
-// with. Each prompt that was otherwise unique read that part anew.
+// Failure: in a fleet of hundreds of engines each entry receives heartbeats from its own data
+// centre only, and serves a prompt so rarely that it forgets who holds the part that most prompts
+// begin with. Each prompt that was otherwise unique read that part anew.
 func TestFirstPartIsFoundInALargeFleet(t *testing.T) {
 	const entries, engines, prompts, firstParts = 150, 300, 600, 4
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/placement/mtholder/holder.go
+++ b/internal/placement/mtholder/holder.go
@@ -1,7 +1,7 @@
 // Package mtholder tracks which targets hold which parts of prompts.
 //
 // Prompts share long parts, and engines evict them within seconds. Without this table each engine
-// would read a shared part anew. Its entries are hints: if a target no longer holds a part, a
+// would read a shared part anew. What it holds are hints: if a target no longer holds a part, a
 // fetch from it misses, which costs a millisecond.
 package mtholder
 
@@ -23,9 +23,9 @@
 	// every prompt, and most engines of a current fleet hold a copy of them; a holder missing
 	// from the table would be passed over.
 	maxHolders = 64
-	// maxEntries limits the number of entries of all parts together to 4 MB: many parts with
+	// maxHoldings limits the number of holders of all parts together to 4 MB: many parts with
 	// many holders each would exhaust the memory of a small instance.
-	maxEntries = 4 * maxParts
+	maxHoldings = 4 * maxParts
 	// unconfirmedTTL applies to a holder that has not reported the part itself, counted from the
 	// last use: engines evict parts that were unused for some seconds when memory fills.
 	unconfirmedTTL = 3 * time.Second
@@ -35,14 +35,14 @@
 	// fetched from it. A store has several times the memory of an engine, and a fetch that
 	// misses is noticed.
 	storeTTL = time.Minute
-	// advertiseTTL is how long a holder is returned to other processes that look up a part.
+	// advertiseTTL is how long a holder is at least returned to other processes that look up a part.
 	// They ask its sidecar before they rely on it.
 	advertiseTTL = 30 * time.Second
-	// reportDelay is how long a new entry is kept although the target reports that it does not
+	// reportDelay is how long a new holding is kept although the target reports that it does not
 	// hold the part: engines report what they have read with a short delay.
 	reportDelay = 300 * time.Millisecond
-	// reportedTTL is how long a part reported by the target counts as held: a few eviction
-	// events are lost.
+	// reportedTTL is how long a part reported by the target counts as held, since a few
+	// eviction events are lost.
 	reportedTTL = time.Minute
 )
 
@@ -53,8 +53,8 @@
 	parts map[key]*list.Element
 	// order lists the records, the most recently recorded first.
 	order *list.List
-	// entries counts the holders of all parts.
-	entries int
+	// count is the number of holders of all parts together.
+	count int
 }
 
 type key struct {
@@ -68,7 +68,7 @@
 	holdings []holding
 }
 
-// holding is the entry of one target for one part.
+// holding is what is known of one target as a holder of one part.
 type holding struct {
 	target string
 	since  time.Time
@@ -94,14 +94,14 @@
 	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown})
 }
 
-// Keep records that a store was sent the parts. A full store evicts the least recently used parts
-// without reporting it.
+// Keep records that a store was sent the parts. A full store evicts the least recently used
+// parts without reporting it.
 func (m *Memory) Keep(salt, target string, parts []*fleetv1.Part) {
 	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown, store: true})
 }
 
-// Read records that a target was given the parts to read. They cannot be fetched yet, but other
-// requests that need them are best sent to the same target.
+// Read records that a target was given the parts to read. They cannot be fetched yet, but
+// other requests that need them are best sent to the same target.
 func (m *Memory) Read(salt, target string, parts []*fleetv1.Part) {
 	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown, reading: true})
 }
@@ -115,7 +115,8 @@
 	}
 }
 
-// Learn applies the cache changes that a target reported. A change to 0 tokens is an eviction.
+// Learn applies the cache changes that a target reported. A change to 0 tokens is an
+// eviction.
 func (m *Memory) Learn(target string, changes []*fleetv1.Held) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,19 +136,19 @@
 	r := element.Value.(*record)
 	before := len(r.holdings)
 	r.holdings = slices.DeleteFunc(r.holdings, func(h holding) bool { return h.target == target })
-	m.entries -= before - len(r.holdings)
+	m.count -= before - len(r.holdings)
 }
 
 // evict removes the part that was recorded least recently.
 func (m *Memory) evict() {
 	oldest := m.order.Back()
 	r := oldest.Value.(*record)
-	m.entries -= len(r.holdings)
+	m.count -= len(r.holdings)
 	delete(m.parts, r.key)
 	m.order.Remove(oldest)
 }
 
-// note adds or updates a holder of a part. An entry that the part is being read does not replace
+// note adds or updates a holder of a part. A holding that is only being read does not replace
 // one that is still valid. A part with too many holders loses the one recorded longest ago.
 func (m *Memory) note(k key, h holding) {
 	element := m.parts[k]
@@ -170,8 +171,8 @@
 	}
 	if len(r.holdings) < maxHolders {
 		r.holdings = append(r.holdings, h)
-		m.entries++
-		for m.entries > maxEntries {
+		m.count++
+		for m.count > maxHoldings {
 			m.evict()
 		}
 		return
@@ -185,7 +186,7 @@
 	r.holdings[oldest] = h
 }
 
-// ttl returns how long the entry counts as valid.
+// ttl returns how long the holding counts as valid.
 func (h holding) ttl() time.Duration {
 	switch {
 	case h.reading:
@@ -241,7 +242,7 @@
 	return found
 }
 
-// Believe merges a holder reported by another process, unless a more recent entry is known.
+// Believe merges a holder reported by another process, unless a more recent holding is known.
 func (m *Memory) Believe(holder *fleetv1.Holder, parts []*fleetv1.Part) {
 	h := holding{
 		target: holder.GetTarget(), since: time.Now().Add(-holder.GetAge().AsDuration()), tokens: unknown,
@@ -258,7 +259,7 @@
 	}
 }
 
-// find returns the entry of one target for a part.
+// find returns the holding of one target for a part.
 func (m *Memory) find(k key, target string) (holding, bool) {
 	if element := m.parts[k]; element != nil {
 		for _, h := range element.Value.(*record).holdings {
@@ -270,8 +271,8 @@
 	return holding{}, false
 }
 
-// Answer applies a target's reply to a query for the given parts. Parts missing from the reply are
-// removed, unless their entry is so recent that the reply may not cover it.
+// Answer applies a target's reply to a query for the given parts. Parts missing from the reply
+// are removed, unless their holding is so recent that the reply may not cover it.
 func (m *Memory) Answer(target string, salts, parts []string, found []*fleetv1.Held) {
 	m.Learn(target, found)
 	reported := map[key]bool{}
@@ -290,7 +291,7 @@
 	}
 }
 
-// fresh reports whether the entry is too recent for the target's reports to cover it.
+// fresh reports whether the holding is too recent for the target's reports to cover it.
 func (h holding) fresh() bool {
 	return h.reading && time.Since(h.since) < readingTTL || time.Since(h.since) < reportDelay
 }
--- a/internal/placement/mtholder/holder_test.go
+++ b/internal/placement/mtholder/holder_test.go
@@ -86,11 +86,11 @@
 			m.Note("s", fmt.Sprint("e", engine), part(i))
 		}
 	}
-	entries := 0
+	holders := 0
 	for i := range 2000 {
-		entries += len(m.Matches("s", part(i)))
+		holders += len(m.Matches("s", part(i)))
 	}
-	g.Expect(entries).To(BeNumerically("<=", 4*16384))
+	g.Expect(holders).To(BeNumerically("<=", 4*16384))
 	g.Expect(m.Matches("s", part(1999))).To(HaveLen(64))
 	for engine := range 64 {
 		m.Forget(fmt.Sprint("e", engine))
--- a/internal/placement/mtnaming/naming.go
+++ b/internal/placement/mtnaming/naming.go
@@ -47,8 +47,8 @@
 // weights after newer ones were named.
 func New(allowed time.Duration) *Naming { return &Naming{allowed: allowed} }
 
-// Listed returns weights that were read from a listing of the store, which does not contain the time
-// at which they were named. Their age is marked as not certain.
+// Listed returns weights that were read from a listing of the store, which does not contain
+// the time at which they were named. Their age is marked as not certain.
 func Listed(weights *fleetv1.Weights) *fleetv1.Weights {
 	listed := proto.CloneOf(weights)
 	listed.Ages = []*fleetv1.Age{{Version: weights.GetVersion(), Age: durationpb.New(0)}}
@@ -92,8 +92,8 @@
 	n.versions[at] = older
 }
 
-// prune drops versions that no longer matter. If the time allowed has passed since two versions were
-// named, targets that lack either are treated alike.
+// prune drops versions that no longer matter. If the time allowed has passed since two versions
+// were named, targets that lack either are treated alike.
 func (n *Naming) prune() {
 	first := max(0, len(n.versions)-maxVersions)
 	for first+1 < len(n.versions) && time.Since(n.versions[first+1].since) > n.allowed {
@@ -102,7 +102,8 @@
 	n.versions = slices.Delete(n.versions, 0, first)
 }
 
-// Behind returns how long ago the first version newer than number was named, or 0 if there is none.
+// Behind returns how long ago the first version newer than number was named, or 0 if there is
+// none.
 func (n *Naming) Behind(number int64) time.Duration {
 	var first time.Time
 	for _, v := range n.versions {
--- a/internal/placement/mtnaming/naming_test.go
+++ b/internal/placement/mtnaming/naming_test.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// Failure: a naming that no process observed counts as recent, or the increment for such a naming is
-// passed on and grows with each process.
+// Failure: a naming that no process observed counts as recent, or the increment for such a naming
+// is passed on and grows with each process.
 func TestUnobservedNamingCountsAsOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -79,8 +79,8 @@
 	})
 }
 
-// Failure: a process was suspended while weights were named and takes them for just named. Its report
-// makes an uncertain but greater age of other processes count as certain.
+// Failure: a process was suspended while weights were named and takes them for just named. Its
+// report makes an uncertain but greater age of other processes count as certain.
 func TestLateObserverDoesNotMakeAgeCertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -138,8 +138,8 @@
 	})
 }
 
-// Failure: an age exchanged among processes that restart exceeds the true age, or a report of another
-// process lowers the age that a process knows.
+// Failure: an age exchanged among processes that restart exceeds the true age, or a report of
+// another process lowers the age that a process knows.
 func TestAgeIsAnIncreasingLowerBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, processes*(processes+1)-1), 1, 60).Draw(rt, "steps")
--- a/internal/placement/mtplace/choose.go
+++ b/internal/placement/mtplace/choose.go
@@ -239,7 +239,8 @@
 	return best
 }
 
-// widens updates the number of homes of the prefix and reports whether it gains one for this request.
+// widens updates the number of homes of the prefix and reports whether it gains one for this
+// request.
 func (p *Place) widens(c *mtchoice.Choice, best, other int) bool {
 	if c.Depth() == 0 {
 		return false
--- a/internal/placement/mtplace/learn.go
+++ b/internal/placement/mtplace/learn.go
@@ -26,9 +26,9 @@
 	t.Say(wait, state.GetPrefill(), state.GetLeaving())
 }
 
-// Sent records that a request is sent to a candidate. From now on the target counts as a holder of
-// the prefix, since it will hold it before another request could compute it. A target that is not
-// a candidate is ignored.
+// Sent records that a request is sent to a candidate. From now on the target counts as a
+// holder of the prefix, since it will hold it before another request could compute it. A target
+// that is not a candidate is ignored.
 func (p *Place) Sent(c *mtchoice.Choice, target string) {
 	i := c.Find(target)
 	if i < 0 {
@@ -54,9 +54,9 @@
 	}
 }
 
-// First compares the time from the start of a run to its first token with the expected time: the
-// wait known when the choice was made plus the time to compute the uncached tokens. The wait
-// reported after the run was accepted is not used: it would include the computing of the run
+// First compares the time from the start of a run to its first token with the expected
+// time: the wait known when the choice was made plus the time to compute the uncached tokens. The
+// wait reported after the run was accepted is not used: it would include the computing of the run
 // itself at the target's own rate.
 func (p *Place) First(c *mtchoice.Choice, target string, took time.Duration, uncached uint64) {
 	i := c.Find(target)
--- a/internal/placement/mtplace/place.go
+++ b/internal/placement/mtplace/place.go
@@ -1,9 +1,10 @@
 // Package mtplace chooses targets for requests. It combines hashed homes, remembered sightings of
 // prefixes, widening of hot prefixes, demotion of slow targets and a cost score.
 //
-// The workload is long shared prompts that arrive at several entries. Prefix hashing alone overloads
-// the target of a hot document, and balancing by load alone computes each document on every
-// target. A request therefore goes where waiting and computing together are expected to end first.
+// The workload is long shared prompts that arrive at several entries. Prefix hashing alone
+// overloads the target of a hot document, and balancing by load alone computes each document on
+// every target. A request therefore goes where waiting and computing together are expected to end
+// first.
 package mtplace
 
 import (
--- a/internal/placement/mtspeed/speed.go
+++ b/internal/placement/mtspeed/speed.go
@@ -20,8 +20,8 @@
 // Term is one component of the time to first token, which is the sum of all terms.
 type Term int
 
-// The terms are, in this order: the fixed cost of a request, the time to read (prefill) one token, the
-// fixed cost of a fetch, and the time to transfer one token.
+// The terms are, in this order: the fixed cost of a request, the time to read (prefill) one token,
+// the fixed cost of a fetch, and the time to transfer one token.
 const (
 	Start Term = iota
 	Read
@@ -123,10 +123,10 @@
 	return time.Duration(sum)
 }
 
-// Learn records the time to first token of a request. Each term is corrected by the ratio of the
-// observed time to the estimate, in proportion to its share of the estimate: every request
-// contributes to the common terms, and a term that a request hardly uses barely changes. The
-// estimate converges to the median.
+// Learn records the time to first token of a request. Each term is corrected by the
+// ratio of the observed time to the estimate, in proportion to its share of the estimate: every
+// request contributes to the common terms, and a term that a request hardly uses barely changes.
+// The estimate converges to the median.
 func (s *Speed) Learn(w Work, took time.Duration) {
 	estimate := float64(s.Estimate(w))
 	if estimate <= 0 || took <= 0 {
@@ -172,8 +172,8 @@
 	return time.Duration(s.meanLength * float64(time.Second))
 }
 
-// Running returns the mean total length of the answers in progress at a random moment. It is above
-// the mean of all answers, since long answers are more likely to be in progress.
+// Running returns the mean total length of the answers in progress at a random moment. It is
+// above the mean of all answers, since long answers are more likely to be in progress.
 func (s *Speed) Running() time.Duration {
 	if s.meanLength <= 0 {
 		return defaultAnswer
