--- a/internal/admission/mtlimit/limits.go
+++ b/internal/admission/mtlimit/limits.go
@@ -66,9 +66,9 @@
 // New returns an empty set of limits.
 func New() *Limits { return &Limits{targets: map[string]*limit{}} }
 
-// Hear records an answer of a target to a request that was sent at the given time. born is the
+// RecordAnswer records an answer of a target to a request that was sent at the given time. born is the
 // start time of the target's process, 0 if unknown. It reports whether the answer is news.
-func (l *Limits) Hear(target string, born int64, answer *fleetv1.Answer, sent time.Time) bool {
+func (l *Limits) RecordAnswer(target string, born int64, answer *fleetv1.Answer, sent time.Time) bool {
 	if answer.Limit == nil && l.count.Load() == 0 {
 		return false
 	}
@@ -184,9 +184,9 @@
 	}
 }
 
-// Started records the start time of a target's process, 0 if unknown. If it is later than the
+// SetStartTime records the start time of a target's process, 0 if unknown. If it is later than the
 // known one, another process has started that has named no limit, so the limit ends.
-func (l *Limits) Started(target string, born int64) {
+func (l *Limits) SetStartTime(target string, born int64) {
 	if born == 0 || l.count.Load() == 0 {
 		return
 	}
--- a/internal/admission/mtlimit/limits_test.go
+++ b/internal/admission/mtlimit/limits_test.go
@@ -43,13 +43,13 @@
 	runTest(t, func(g Gomega, l *mtlimit.Limits) {
 		before := time.Now()
 		time.Sleep(time.Second)
-		g.Expect(l.Hear("a", 0, answerWithLimit(2), before)).To(BeTrue())
-		g.Expect(l.Hear("a", 0, answerWithoutLimit, before)).To(BeFalse())
+		g.Expect(l.RecordAnswer("a", 0, answerWithLimit(2), before)).To(BeTrue())
+		g.Expect(l.RecordAnswer("a", 0, answerWithoutLimit, before)).To(BeFalse())
 		time.Sleep(time.Millisecond)
-		g.Expect(l.Hear("a", 0, answerUnreadable, time.Now())).To(BeFalse())
-		g.Expect(l.Hear("a", 0, answerRefused, time.Now())).To(BeFalse())
+		g.Expect(l.RecordAnswer("a", 0, answerUnreadable, time.Now())).To(BeFalse())
+		g.Expect(l.RecordAnswer("a", 0, answerRefused, time.Now())).To(BeFalse())
 		g.Expect(currentRate(l, "a")).To(Equal(2.0))
-		g.Expect(l.Hear("a", 0, answerWithoutLimit, time.Now())).To(BeTrue())
+		g.Expect(l.RecordAnswer("a", 0, answerWithoutLimit, time.Now())).To(BeTrue())
 		g.Expect(currentRate(l, "a")).To(Equal(math.Inf(1)))
 		g.Expect(l.Count()).To(BeZero())
 	})
@@ -60,13 +60,13 @@
 	runTest(t, func(g Gomega, l *mtlimit.Limits) {
 		sent := time.Now()
 		time.Sleep(time.Second)
-		l.Hear("a", 0, answerWithLimit(2), sent)
-		l.Hear("a", 0, answerWithLimit(5), sent)
+		l.RecordAnswer("a", 0, answerWithLimit(2), sent)
+		l.RecordAnswer("a", 0, answerWithLimit(5), sent)
 		g.Expect(currentRate(l, "a")).To(Equal(2.0))
 		time.Sleep(time.Millisecond)
-		l.Hear("a", 0, answerWithLimit(5), time.Now())
+		l.RecordAnswer("a", 0, answerWithLimit(5), time.Now())
 		g.Expect(currentRate(l, "a")).To(Equal(5.0))
-		l.Hear("a", 0, answerWithLimit(0), time.Now())
+		l.RecordAnswer("a", 0, answerWithLimit(0), time.Now())
 		g.Expect(currentRate(l, "a")).To(BeZero())
 	})
 }
@@ -75,13 +75,13 @@
 // back through late gossip.
 func TestRestartedTargetHasNoLimit(t *testing.T) {
 	runTest(t, func(g Gomega, l *mtlimit.Limits) {
-		l.Hear("a", 0, answerWithLimit(2), time.Now())
-		l.Started("a", 100)
+		l.RecordAnswer("a", 0, answerWithLimit(2), time.Now())
+		l.SetStartTime("a", 100)
 		g.Expect(currentRate(l, "a")).To(Equal(2.0))
-		l.Started("a", 100)
-		l.Started("a", 0)
+		l.SetStartTime("a", 100)
+		l.SetStartTime("a", 0)
 		g.Expect(currentRate(l, "a")).To(Equal(2.0))
-		l.Started("a", 200)
+		l.SetStartTime("a", 200)
 		g.Expect(currentRate(l, "a")).To(Equal(math.Inf(1)))
 		time.Sleep(time.Second)
 		g.Expect(l.Merge([]*fleetv1.Limit{{Target: "a", Born: 100, Rate: proto.Float64(2)}})).To(BeEmpty())
@@ -94,11 +94,11 @@
 func TestNewestReportWins(t *testing.T) {
 	runTest(t, func(g Gomega, l *mtlimit.Limits) {
 		other := mtlimit.New()
-		l.Hear("a", 7, answerWithLimit(2), time.Now())
+		l.RecordAnswer("a", 7, answerWithLimit(2), time.Now())
 		time.Sleep(time.Second)
 		g.Expect(other.Merge(l.Recent(4))).To(HaveLen(1))
 		g.Expect(currentRate(other, "a")).To(Equal(2.0))
-		other.Hear("a", 7, answerWithoutLimit, time.Now())
+		other.RecordAnswer("a", 7, answerWithoutLimit, time.Now())
 		time.Sleep(5 * time.Second)
 		g.Expect(other.Merge(l.Recent(4))).To(BeEmpty())
 		g.Expect(currentRate(other, "a")).To(Equal(math.Inf(1)))
@@ -116,7 +116,7 @@
 		var all []*mtlimit.Limits
 		for range entries {
 			l := mtlimit.New()
-			l.Hear("a", 0, answerWithLimit(2), time.Now())
+			l.RecordAnswer("a", 0, answerWithLimit(2), time.Now())
 			all = append(all, l)
 		}
 		time.Sleep(time.Second)
@@ -141,7 +141,7 @@
 func TestOldestLimitIsEvicted(t *testing.T) {
 	runTest(t, func(g Gomega, l *mtlimit.Limits) {
 		for i := range 9000 {
-			l.Hear(fmt.Sprint(i), 1, answerWithLimit(1), time.Now())
+			l.RecordAnswer(fmt.Sprint(i), 1, answerWithLimit(1), time.Now())
 			time.Sleep(10 * time.Millisecond)
 		}
 		g.Expect(l.Count()).To(Equal(8192))
@@ -154,10 +154,10 @@
 // Guards against a data race: a limit handed out for gossip must not change while it is sent.
 func TestWhatIsToldDoesNotChange(t *testing.T) {
 	runTest(t, func(g Gomega, l *mtlimit.Limits) {
-		l.Hear("a", 0, answerWithLimit(2), time.Now())
+		l.RecordAnswer("a", 0, answerWithLimit(2), time.Now())
 		single, recent := l.Of("a"), l.Recent(1)
 		time.Sleep(time.Second)
-		l.Hear("a", 0, answerWithLimit(5), time.Now())
+		l.RecordAnswer("a", 0, answerWithLimit(5), time.Now())
 		g.Expect(single.GetRate()).To(Equal(2.0))
 		g.Expect(recent[0].GetRate()).To(Equal(2.0))
 	})
@@ -166,9 +166,9 @@
 // Guards against an ended limit being dropped while other entries still send it, or never.
 func TestEndedLimitExpiresInTime(t *testing.T) {
 	runTest(t, func(g Gomega, l *mtlimit.Limits) {
-		l.Hear("a", 0, answerWithLimit(2), time.Now())
+		l.RecordAnswer("a", 0, answerWithLimit(2), time.Now())
 		time.Sleep(time.Second)
-		l.Hear("a", 0, answerWithoutLimit, time.Now())
+		l.RecordAnswer("a", 0, answerWithoutLimit, time.Now())
 		time.Sleep(40 * time.Second)
 		l.Expire()
 		g.Expect(l.Of("a")).NotTo(BeNil())
--- a/internal/admission/mtlimiter/fleet_test.go
+++ b/internal/admission/mtlimiter/fleet_test.go
@@ -165,7 +165,7 @@
 		e.nextDigest = e.nextDigest.Add(digestInterval)
 		e.sendDigest()
 	}
-	if time.Since(e.lastTick) < mtquota.TickInterval || !e.limiter.Due() {
+	if time.Since(e.lastTick) < mtquota.TickInterval || !e.limiter.TickDue() {
 		return
 	}
 	e.lastTick = time.Now()
@@ -200,7 +200,7 @@
 func (e *entry) sendDigest() {
 	e.readers.Resize(len(e.fleet.entries))
 	e.readers.Join(false)
-	digest := &fleetv1.Digest{Limits: e.limits.Recent(12), Readers: e.digestReaders(), Entries: uint32(e.limiter.Observed())}
+	digest := &fleetv1.Digest{Limits: e.limits.Recent(12), Readers: e.digestReaders(), Entries: uint32(e.limiter.ObservedSize())}
 	for range min(fanout, len(e.fleet.entries)-1) {
 		if other := e.fleet.randomEntry(); other != e {
 			e.fleet.post(message{from: e, to: other, digest: digest})
@@ -280,7 +280,7 @@
 	if e.down || e.frozen {
 		return
 	}
-	if e.limiter.Wait(target) > 0 {
+	if e.limiter.BlockedFor(target) > 0 {
 		f.refused++
 		return
 	}
@@ -340,7 +340,7 @@
 		case a.entry.frozen || time.Now().Before(a.dueAt):
 			remaining = append(remaining, a)
 		default:
-			a.limits.Hear(target, 0, a.message, a.sentAt)
+			a.limits.RecordAnswer(target, 0, a.message, a.sentAt)
 			if a.message.Limit != nil && f.window != nil {
 				f.window.Told(a.entry.address, time.Now())
 			}
--- a/internal/admission/mtlimiter/limiter.go
+++ b/internal/admission/mtlimiter/limiter.go
@@ -81,8 +81,8 @@
 // Refund returns the permit of a request that was not sent.
 func (l *Limiter) Refund(target string) { l.quota.Refund(l.account(target), 1) }
 
-// Started records the start time of a target's process, 0 if unknown.
-func (l *Limiter) Started(target string, born int64) { l.limits.Started(target, born) }
+// SetStartTime records the start time of a target's process, 0 if unknown.
+func (l *Limiter) SetStartTime(target string, born int64) { l.limits.SetStartTime(target, born) }
 
 // Limited reports whether a target is limited.
 func (l *Limiter) Limited(target string) bool {
@@ -90,8 +90,8 @@
 	return limited
 }
 
-// Wait returns how long no permit is available for a target, 0 if one may be.
-func (l *Limiter) Wait(target string) time.Duration {
+// BlockedFor returns how long no permit is available for a target, 0 if one may be.
+func (l *Limiter) BlockedFor(target string) time.Duration {
 	if !l.Limited(target) {
 		return 0
 	}
@@ -115,9 +115,9 @@
 	return account
 }
 
-// Due reports whether Tick is to be called: always while a target is limited, otherwise once
+// TickDue reports whether Tick is to be called: always while a target is limited, otherwise once
 // per idleTickInterval.
-func (l *Limiter) Due() bool {
+func (l *Limiter) TickDue() bool {
 	return l.limits.Count() > 0 || time.Since(l.lastTick) >= idleTickInterval
 }
 
@@ -189,8 +189,8 @@
 // SetStoredSize records the fleet size according to the store.
 func (l *Limiter) SetStoredSize(entries int) { l.quota.SetStoredSize(entries) }
 
-// Observed returns the fleet size that this entry observed recently.
-func (l *Limiter) Observed() int { return l.quota.ObservedSize() }
+// ObservedSize returns the fleet size that this entry observed recently.
+func (l *Limiter) ObservedSize() int { return l.quota.ObservedSize() }
 
 // Allocating reports whether this entry allocates, and for how long it has.
 func (l *Limiter) Allocating() (time.Duration, bool) { return l.quota.Allocating() }
--- a/internal/admission/mtlimiter/model_test.go
+++ b/internal/admission/mtlimiter/model_test.go
@@ -107,7 +107,7 @@
 func BenchmarkAnswer(b *testing.B) {
 	const entries = 356
 	limits := mtlimit.New()
-	limits.Hear(target, 0, &fleetv1.Answer{Sealed: true, Limit: proto.Float64(20)}, time.Now())
+	limits.RecordAnswer(target, 0, &fleetv1.Answer{Sealed: true, Limit: proto.Float64(20)}, time.Now())
 	limiter := mtlimiter.New("10.1.0.1:7340", limits)
 	limiter.SetPeerSize(entries)
 	b.ReportAllocs()
@@ -124,11 +124,11 @@
 func BenchmarkWait(b *testing.B) {
 	limits := mtlimit.New()
 	for i := range 300 {
-		limits.Hear(fmt.Sprint(i), 0, &fleetv1.Answer{Sealed: true, Limit: proto.Float64(20)}, time.Now())
+		limits.RecordAnswer(fmt.Sprint(i), 0, &fleetv1.Answer{Sealed: true, Limit: proto.Float64(20)}, time.Now())
 	}
 	limiter := mtlimiter.New("10.1.0.1:7340", limits)
 	b.ReportAllocs()
 	for b.Loop() {
-		limiter.Wait("7")
+		limiter.BlockedFor("7")
 	}
 }
--- a/internal/admission/mtqueue/pattern_test.go
+++ b/internal/admission/mtqueue/pattern_test.go
@@ -114,7 +114,7 @@
 func (t *target) tick(done <-chan struct{}) {
 	for {
 		t.mu.Lock()
-		wake := t.queue.Wake()
+		wake := t.queue.WakeTime()
 		t.mu.Unlock()
 		var timer <-chan time.Time
 		if !wake.IsZero() {
@@ -159,7 +159,7 @@
 	<-t.computing
 	first = time.Now()
 	t.mu.Lock()
-	t.queue.First(work.GetRun(), work.GetAttempt())
+	t.queue.FirstOutput(work.GetRun(), work.GetAttempt())
 	t.step()
 	t.mu.Unlock()
 	time.Sleep(time.Duration(float64(work.GetOutput()-1) * t.slowdown() * float64(decode)))
--- a/internal/admission/mtqueue/queue.go
+++ b/internal/admission/mtqueue/queue.go
@@ -100,9 +100,9 @@
 	return next.work
 }
 
-// First records the first output of a running request: its prefill is complete, and the target
+// FirstOutput records the first output of a running request: its prefill is complete, and the target
 // can compute the next prompt.
-func (q *Queue) First(run string, attempt uint32) {
+func (q *Queue) FirstOutput(run string, attempt uint32) {
 	if it := q.byKey[key{run, attempt}]; it != nil && it.running {
 		q.batch.firstOutput(it, &q.rates)
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// Wait predicts the queueing time of a request without queueing it.
-func (q *Queue) Wait(work *mustardtidev1.Work, matched uint64) time.Duration {
+// PredictWait predicts the queueing time of a request without queueing it.
+func (q *Queue) PredictWait(work *mustardtidev1.Work, matched uint64) time.Duration {
 	q.now = time.Now()
 	q.reservations.expire(q.now)
 	it := q.newItem(work, matched)
@@ -136,9 +136,9 @@
 	return q.predictWait(it, q.reservations.total)
 }
 
-// Wake returns when Next or Expire may have a new result although nothing was added or done. It
+// WakeTime returns when Next or Expire may have a new result although nothing was added or done. It
 // returns the zero time if nothing waits.
-func (q *Queue) Wake() time.Time {
+func (q *Queue) WakeTime() time.Time {
 	if q.Queued() == 0 && len(q.evicted) == 0 {
 		return time.Time{}
 	}
@@ -155,10 +155,10 @@
 // Queued returns the number of waiting requests.
 func (q *Queue) Queued() int { return q.lanes[0].total().count + q.lanes[1].total().count }
 
-// Backlog returns the cost of the waiting requests in prefill tokens.
-func (q *Queue) Backlog() uint64 {
+// BacklogCost returns the cost of the waiting requests in prefill tokens.
+func (q *Queue) BacklogCost() uint64 {
 	return uint64(q.lanes[0].total().cost + q.lanes[1].total().cost)
 }
 
-// Prefill returns the target's measured prefill rate in tokens per second.
-func (q *Queue) Prefill() float64 { return q.rates.prefill }
+// PrefillRate returns the target's measured prefill rate in tokens per second.
+func (q *Queue) PrefillRate() float64 { return q.rates.prefill }
--- a/internal/admission/mtqueue/reservation.go
+++ b/internal/admission/mtqueue/reservation.go
@@ -36,11 +36,11 @@
 	total [2]sums
 }
 
-// Hold checks a request as Add does and reserves its place for reservationTTL. Adding any
-// attempt of the same run uses the reservation. Hold returns the predicted wait behind the
+// Reserve checks a request as Add does and reserves its place for reservationTTL. Adding any
+// attempt of the same run uses the reservation. Reserve returns the predicted wait behind the
 // other reservations. They only affect how targets are ranked: no request is refused because of
 // reservations that may never be used.
-func (q *Queue) Hold(work *mustardtidev1.Work, matched uint64) (time.Duration, *mtrefusal.Refusal) {
+func (q *Queue) Reserve(work *mustardtidev1.Work, matched uint64) (time.Duration, *mtrefusal.Refusal) {
 	q.now = time.Now()
 	q.reservations.expire(q.now)
 	it := q.newItem(work, matched)
--- a/internal/lab/mtfake/target.go
+++ b/internal/lab/mtfake/target.go
@@ -125,11 +125,11 @@
 		Target:      t.name,
 		Incarnation: incarnation,
 		Ready:       true,
-		Wait:        durationpb.New(t.queue.Wait(&mustardtidev1.Work{Class: mustardtidev1.Class_SHORT}, 0)),
+		Wait:        durationpb.New(t.queue.PredictWait(&mustardtidev1.Work{Class: mustardtidev1.Class_SHORT}, 0)),
 		Running:     uint32(t.queue.Running()),
 		Queued:      uint32(t.queue.Queued()),
-		Backlog:     t.queue.Backlog(),
-		Prefill:     t.queue.Prefill(),
+		Backlog:     t.queue.BacklogCost(),
+		Prefill:     t.queue.PrefillRate(),
 	}
 }
 
@@ -137,7 +137,7 @@
 // cached, and a reservation or refusal.
 func (t *Target) Offer(work *mustardtidev1.Work, chain mtchain.Chain) *mustardtidev1.OfferReply {
 	matched := t.Promised(chain)
-	wait, refusal := t.queue.Hold(work, matched)
+	wait, refusal := t.queue.Reserve(work, matched)
 	state := t.State()
 	state.Wait = durationpb.New(wait)
 	return &mustardtidev1.OfferReply{State: state, Matched: matched, Refusal: refusal.Message()}
@@ -145,7 +145,7 @@
 
 // Wait is the sidecar's estimate of a request's time in queue.
 func (t *Target) Wait(work *mustardtidev1.Work, chain mtchain.Chain) time.Duration {
-	return t.queue.Wait(work, t.Promised(chain))
+	return t.queue.PredictWait(work, t.Promised(chain))
 }
 
 // Rate is the prefill rate that the target has now, tokens a second.
@@ -174,7 +174,7 @@
 		t.line = append(t.line, t.jobs[work.GetRun()])
 	}
 	t.compute()
-	wake := t.queue.Wake()
+	wake := t.queue.WakeTime()
 	if wake.IsZero() || wake.Equal(t.wake) {
 		return
 	}
@@ -209,7 +209,7 @@
 	t.store(blocks, j.request.Chain())
 	j.plan()
 	// The end of the prefill gives the first token.
-	t.queue.First(j.work.GetRun(), j.work.GetAttempt())
+	t.queue.FirstOutput(j.work.GetRun(), j.work.GetAttempt())
 	j.answer.First(cached)
 	step := time.Duration(float64(t.decode) * t.speed(t.number, t.loop.Now()))
 	t.loop.After(step*time.Duration(j.work.GetOutput()-1), func() { t.end(j, cached) })
--- a/internal/lab/mtlab/chooser.go
+++ b/internal/lab/mtlab/chooser.go
@@ -20,7 +20,7 @@
 
 type (
 	// placed is the product's placement.
-	placed struct{ place *mtplace.Place }
+	placed struct{ place *mtplace.Placer }
 	// sampled is random choice.
 	sampled struct{ random *rand.Rand }
 	// rotated is round robin.
@@ -92,7 +92,7 @@
 	for _, t := range l.targets {
 		members = append(members, &mustardtidev1.Member{Name: t.Name(), Datacentre: l.size.Datacentre(t.Site())})
 	}
-	place.Members(members)
+	place.SetMembers(members)
 	return &placed{place: place}
 }
 
--- a/internal/lab/mtlab/placed.go
+++ b/internal/lab/mtlab/placed.go
@@ -13,7 +13,7 @@
 // knowledge is not fresh, an order.
 func (e *entry) place(c *placed, r *mtrequest.Request, then func([]*mtfake.Target, *mtchoice.Choice)) {
 	choice := c.place.Choose(r.Chain(), r.Work().GetPrompt())
-	if choice.Fresh() {
+	if choice.SkipOffers() {
 		then(e.ordered(c, choice), choice)
 		return
 	}
@@ -23,10 +23,10 @@
 		e.lab.loop.After(e.trip(t), func() {
 			reply := t.Offer(r.Left(e.lab.loop.Now()), r.Chain())
 			e.lab.loop.After(e.trip(t), func() {
-				c.place.Heard(reply.GetState())
-				choice.Offered(i, reply.GetMatched(), reply.GetState().GetWait().AsDuration())
+				c.place.UpdateState(reply.GetState())
+				choice.ApplyOffer(i, reply.GetMatched(), reply.GetState().GetWait().AsDuration())
 				if reply.GetRefusal() != nil {
-					choice.Refuse(i)
+					choice.MarkRefused(i)
 				}
 				if left--; left == 0 {
 					c.place.Rank(choice)
@@ -39,7 +39,7 @@
 
 // ordered turns a choice into targets and notes the first as sent.
 func (e *entry) ordered(c *placed, choice *mtchoice.Choice) []*mtfake.Target {
-	c.place.Sent(choice, choice.Target(0).Name())
+	c.place.RecordSent(choice, choice.Target(0).Name())
 	var order []*mtfake.Target
 	for i := range choice.Len() {
 		order = append(order, e.find(choice.Target(i).Name()))
@@ -58,7 +58,7 @@
 
 func (e *entry) heard(state *mustardtidev1.State) {
 	if c, ok := e.chooser.(*placed); ok {
-		c.place.Heard(state)
+		c.place.UpdateState(state)
 	}
 }
 
@@ -69,6 +69,6 @@
 		return
 	}
 	name := a.target().Name()
-	c.place.Missed(a.request.Chain(), name, cached)
-	c.place.First(a.choice, name, took, a.uncached)
+	c.place.RecordMiss(a.request.Chain(), name, cached)
+	c.place.RecordFirstToken(a.choice, name, took, a.uncached)
 }
--- a/internal/placement/mtboard/board.go
+++ b/internal/placement/mtboard/board.go
@@ -38,7 +38,7 @@
 	// maxStaleness is how long after newer weights were announced a run may still begin on older
 	// ones.
 	maxStaleness time.Duration
-	holders      *mtholder.Memory
+	holders      *mtholder.Table
 
 	mu      sync.Mutex
 	records map[string]*record
@@ -154,7 +154,7 @@
 	for id := range b.records {
 		if targets[id] == nil {
 			delete(b.records, id)
-			b.holders.Forget(id)
+			b.holders.RemoveTarget(id)
 		}
 	}
 	for id, target := range targets {
@@ -197,7 +197,7 @@
 	b.noteStart(state.GetTarget(), state.GetReport().GetBorn())
 	if old := r.state; old != nil && old.GetReport().GetBorn() != state.GetReport().GetBorn() {
 		// The engine was restarted under the same id: its cache is empty.
-		b.holders.Forget(state.GetTarget())
+		b.holders.RemoveTarget(state.GetTarget())
 		r.answeredVersion = 0
 	}
 	r.state = state
@@ -216,8 +216,8 @@
 // noteStart records when a target's program was started. What an earlier program announced about
 // itself no longer holds.
 func (b *Board) noteStart(id string, born int64) {
-	b.departures.Started(id, born)
-	b.limiter.Started(id, born)
+	b.departures.RecordStart(id, born)
+	b.limiter.SetStartTime(id, born)
 }
 
 // MissingHeartbeat returns the model engines whose sidecars have not been heard from for the
@@ -255,13 +255,13 @@
 		return
 	}
 	if state.GetReset_() || state.GetEpoch() != r.epoch {
-		b.holders.Forget(state.GetTarget())
+		b.holders.RemoveTarget(state.GetTarget())
 		r.epoch, r.appliedUpTo = state.GetEpoch(), 0
 	}
 	if state.GetSince() > r.appliedUpTo || state.GetUpto() <= r.appliedUpTo {
 		return
 	}
-	b.holders.Learn(state.GetTarget(), state.GetChanges())
+	b.holders.ApplyChanges(state.GetTarget(), state.GetChanges())
 	r.appliedUpTo = state.GetUpto()
 }
 
--- a/internal/placement/mtboard/board_test.go
+++ b/internal/placement/mtboard/board_test.go
@@ -171,7 +171,7 @@
 func TestFewEnginesWithUncertainWeightsAreAvoided(t *testing.T) {
 	g := NewWithT(t)
 	b := board(4)
-	b.MergeWeights(mtnaming.Listed(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2}))
+	b.MergeWeights(mtnaming.FromListing(&fleetv1.Weights{Model: "m", Version: 2, Revision: 2}))
 	used := func() map[string]bool {
 		ids := map[string]bool{}
 		for range 80 {
--- a/internal/placement/mtboard/choice.go
+++ b/internal/placement/mtboard/choice.go
@@ -130,7 +130,7 @@
 func (c *Choice) EstimateReliable() bool {
 	c.board.mu.Lock()
 	defer c.board.mu.Unlock()
-	return c.speed.Known()
+	return c.speed.Reliable()
 }
 
 // QueueTime returns the part of the estimate spent queued behind other prompts.
@@ -179,7 +179,7 @@
 	tokens := c.query.sharedTokens()
 	c.saveToStore = c.salt != "" && c.matched+c.fetched < tokens && c.storedTokens < tokens && c.storeUseful
 	if c.salt != "" {
-		c.board.holders.Read(c.salt, c.id, c.query.shared())
+		c.board.holders.RecordReading(c.salt, c.id, c.query.shared())
 	}
 }
 
@@ -206,14 +206,14 @@
 	case c.fromStore:
 		c.recordStoreFetch(took)
 	case !c.board.disabled.speeds:
-		c.speed.Learn(c.work, took)
+		c.speed.ObserveFirstToken(c.work, took)
 	}
 	c.updateLoad(answer)
 	if c.salt != "" {
-		c.board.holders.Note(c.salt, c.id, c.query.ask.GetParts())
+		c.board.holders.RecordHeld(c.salt, c.id, c.query.ask.GetParts())
 	}
 	if c.SaveTo() != "" {
-		c.board.holders.Keep(c.salt, c.query.store, c.query.shared())
+		c.board.holders.RecordStored(c.salt, c.query.store, c.query.shared())
 	}
 }
 
@@ -279,7 +279,7 @@
 	case Succeeded:
 		c.record.failures.recordSuccess()
 		if hadStarted {
-			c.speed.Answered(time.Since(c.firstByteAt))
+			c.speed.ObserveAnswer(time.Since(c.firstByteAt))
 		}
 	case Unreachable:
 		c.record.failures.recordUnreachable()
--- a/internal/placement/mtboard/choose.go
+++ b/internal/placement/mtboard/choose.go
@@ -139,7 +139,7 @@
 	}
 	c.version = c.record.weightsVersion(e.query.model())
 	naming := e.board.naming(e.query.model())
-	c.behind = naming.Behind(c.version)
+	c.behind = naming.OutdatedFor(c.version)
 	if e.someInTime && e.board.nearMaxStaleness(c.behind) {
 		return unfitOutdated
 	}
@@ -193,7 +193,7 @@
 			continue
 		}
 		usable++
-		behind := naming.Behind(r.weightsVersion(e.query.model()))
+		behind := naming.OutdatedFor(r.weightsVersion(e.query.model()))
 		if behind == 0 {
 			newest++
 		}
--- a/internal/placement/mtboard/cost.go
+++ b/internal/placement/mtboard/cost.go
@@ -57,11 +57,11 @@
 	left := max(0, q.ask.GetPrompt()-own.Tokens-fetched)
 	c.prefillTokens = left
 	c.work = mtspeed.NewWork(r.queuedTokens()+left, fetched)
-	c.breakdown[itemStart] = speed.Of(mtspeed.Start)
-	c.breakdown[itemQueue] = speed.Tokens(float64(r.queuedTokens()))
-	c.breakdown[itemPrefill] = speed.Tokens(float64(left))
+	c.breakdown[itemStart] = speed.Time(mtspeed.Start)
+	c.breakdown[itemQueue] = speed.ReadTime(float64(r.queuedTokens()))
+	c.breakdown[itemPrefill] = speed.ReadTime(float64(left))
 	if fetched > 0 {
-		c.breakdown[itemFetch] = speed.Of(mtspeed.Begin) + time.Duration(fetched)*speed.Of(mtspeed.Fetch)
+		c.breakdown[itemFetch] = speed.Time(mtspeed.FetchSetup) + time.Duration(fetched)*speed.Time(mtspeed.Fetch)
 	}
 	c.baseEstimate = c.breakdown.sum()
 	ratio := r.latency.value()
@@ -74,15 +74,15 @@
 	}
 	c.expected = c.breakdown.sum()
 	c.wait = c.breakdown[itemQueue]
-	c.breakdown[itemConcurrency] = time.Duration(float64(r.otherRequests()+r.running) * concurrencyShare * float64(speed.Of(mtspeed.Start)))
+	c.breakdown[itemConcurrency] = time.Duration(float64(r.otherRequests()+r.running) * concurrencyShare * float64(speed.Time(mtspeed.Start)))
 	if r.target.GetDatacentre() != b.datacentre {
-		c.breakdown[itemDistance] = speed.Tokens(distanceTokens)
+		c.breakdown[itemDistance] = speed.ReadTime(distanceTokens)
 	}
 	if !home && own.Tokens == 0 && len(q.shared()) > 0 {
-		c.breakdown[itemNotHome] = speed.Tokens(notHomeTokens)
+		c.breakdown[itemNotHome] = speed.ReadTime(notHomeTokens)
 	}
-	c.breakdown[itemRedundant] = speed.Tokens(redundantFactor * float64(redundantTokens(c, matches)))
-	c.breakdown[itemCopy] = speed.Tokens(copyFactor * float64(fetched))
+	c.breakdown[itemRedundant] = speed.ReadTime(redundantFactor * float64(redundantTokens(c, matches)))
+	c.breakdown[itemCopy] = speed.ReadTime(copyFactor * float64(fetched))
 	if c.behind > oldWeightsAfter {
 		c.breakdown[itemOldWeights] = scale(oldWeightsShare, q.aim)
 	}
@@ -120,10 +120,10 @@
 	address, local := "", false
 	for id, match := range matches {
 		from, near := b.fetchAddress(c, id)
-		if from == "" || match.Read < own.Tokens+minFetchTokens {
+		if from == "" || match.Fetchable < own.Tokens+minFetchTokens {
 			continue
 		}
-		if match.Read > best.Read || match.Read == best.Read && near && !local {
+		if match.Fetchable > best.Fetchable || match.Fetchable == best.Fetchable && near && !local {
 			best, address, local = match, from, near
 		}
 	}
@@ -135,7 +135,7 @@
 	if address == "" {
 		return "", 0
 	}
-	return address, best.Read - own.Tokens
+	return address, best.Fetchable - own.Tokens
 }
 
 // maxStoreDelayAims is how long fetches from a store may wait for its link, as a part of the
--- a/internal/placement/mtboard/delay.go
+++ b/internal/placement/mtboard/delay.go
@@ -58,11 +58,11 @@
 func (c *Choice) recordStoreFetch(took time.Duration) {
 	store := c.query.store
 	excess := took - c.expected + c.storeDelay
-	prefill := c.speed.Tokens(float64(c.fetched))
+	prefill := c.speed.ReadTime(float64(c.fetched))
 	if excess > scale(missThreshold, prefill) && excess < 2*prefill {
-		c.board.holders.Drop(c.salt, store, c.query.shared())
+		c.board.holders.Remove(c.salt, store, c.query.shared())
 		return
 	}
 	c.board.delayOf(store).learn(excess)
-	c.board.holders.Keep(c.salt, store, c.query.shared())
+	c.board.holders.RecordStored(c.salt, store, c.query.shared())
 }
--- a/internal/placement/mtboard/plain.go
+++ b/internal/placement/mtboard/plain.go
@@ -38,7 +38,7 @@
 		busy = max(busy, int(r.lastAnswer.GetRunning()+r.lastAnswer.GetWaiting()))
 	}
 	c.work = mtspeed.NewWork(0, 0)
-	work := c.speed.Of(mtspeed.Start)
+	work := c.speed.Time(mtspeed.Start)
 	c.baseEstimate = work
 	c.breakdown[itemQueue] = work * time.Duration(busy) / time.Duration(slots)
 	if busy >= slots {
--- a/internal/placement/mtboard/seek.go
+++ b/internal/placement/mtboard/seek.go
@@ -155,7 +155,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, holder := range holders {
-		b.holders.Believe(holder, q.upTo(part))
+		b.holders.MergeHint(holder, q.upTo(part))
 		if holder.GetStore() || b.records[holder.GetTarget()] == nil {
 			continue
 		}
@@ -194,5 +194,5 @@
 
 // RecordHeld records which of the prompt's shared parts an engine holds.
 func (b *Board) RecordHeld(q *Query, target string, salts []string, found []*fleetv1.Held) {
-	b.holders.Answer(target, salts, q.SharedParts(), found)
+	b.holders.ApplyReply(target, salts, q.SharedParts(), found)
 }
--- a/internal/placement/mtboard/speed.go
+++ b/internal/placement/mtboard/speed.go
@@ -41,7 +41,7 @@
 	if s == nil {
 		return nil
 	}
-	speed := s.Tell()
+	speed := s.Snapshot()
 	if speed != nil {
 		speed.Service = service
 	}
--- a/internal/placement/mtboard/turns.go
+++ b/internal/placement/mtboard/turns.go
@@ -68,7 +68,7 @@
 func (b *Board) arrangeQueue(service *fleetv1.Service, group string, records []*record, near, far time.Duration) *mtturns.Turns {
 	naming := b.naming(service.GetModel())
 	key := queueKey{service.GetName(), group}
-	turns := mtturns.New(b.maxStaleness, naming.Age(), b.speedOf(service).Answer(), b.loadLimits[key])
+	turns := mtturns.New(b.maxStaleness, naming.Age(), b.speedOf(service).MeanAnswer(), b.loadLimits[key])
 	newest := naming.Newest().GetVersion()
 	for _, r := range records {
 		if r.replaced || r.leaving() {
--- a/internal/placement/mtboard/why.go
+++ b/internal/placement/mtboard/why.go
@@ -47,7 +47,7 @@
 		return unfitWrongProgram
 	case r.board.pauses.Remaining(r.target.GetId()) > 0:
 		return unfitPaused
-	case r.board.limiter.Wait(r.target.GetId()) > 0:
+	case r.board.limiter.BlockedFor(r.target.GetId()) > 0:
 		return unfitLimited
 	case time.Now().Before(r.failures.excludedUntil):
 		return unfitUnreachable
@@ -101,7 +101,7 @@
 	defer b.mu.Unlock()
 	var first time.Duration
 	for _, r := range b.services[q.service.GetName()] {
-		left := max(b.pauses.Remaining(r.target.GetId()), b.limiter.Wait(r.target.GetId()))
+		left := max(b.pauses.Remaining(r.target.GetId()), b.limiter.BlockedFor(r.target.GetId()))
 		switch {
 		case r.leaving() || q.wrongBuild(r):
 		case left == 0:
--- a/internal/placement/mtchoice/choice.go
+++ b/internal/placement/mtchoice/choice.go
@@ -55,27 +55,27 @@
 // Chain returns the prompt's prefix chain.
 func (c *Choice) Chain() mtchain.Chain { return c.chain }
 
-// Prompt returns the prompt's length in tokens.
-func (c *Choice) Prompt() uint64 { return c.promptTokens }
+// PromptTokens returns the prompt's length in tokens.
+func (c *Choice) PromptTokens() uint64 { return c.promptTokens }
 
 // Depth returns the number of marks in the prefix that determines the prompt's
 // homes; 0 if it has none.
 func (c *Choice) Depth() int { return c.depth }
 
-// Least returns the number of marks that a target must have cached to count as
+// HolderMarks returns the number of marks that a target must have cached to count as
 // a holder of the prompt.
-func (c *Choice) Least() int { return c.minHolderMarks }
+func (c *Choice) HolderMarks() int { return c.minHolderMarks }
 
-// SetLeast sets the number of marks that a target must have cached to count as
+// SetHolderMarks sets the number of marks that a target must have cached to count as
 // a holder of the prompt.
-func (c *Choice) SetLeast(marks int) { c.minHolderMarks = marks }
+func (c *Choice) SetHolderMarks(marks int) { c.minHolderMarks = marks }
 
-// Fresh reports whether the entry's knowledge is recent enough to send the
+// SkipOffers reports whether the entry's knowledge is recent enough to send the
 // request without offers.
-func (c *Choice) Fresh() bool { return c.skipOffers }
+func (c *Choice) SkipOffers() bool { return c.skipOffers }
 
-// SetFresh sets whether the request is sent without offers.
-func (c *Choice) SetFresh(skip bool) { c.skipOffers = skip }
+// SetSkipOffers sets whether the request is sent without offers.
+func (c *Choice) SetSkipOffers(skip bool) { c.skipOffers = skip }
 
 // AddHome adds a home of the prompt.
 func (c *Choice) AddHome(t *mttarget.Target) { c.add(t, home, 0) }
@@ -108,8 +108,8 @@
 // Target returns the i-th candidate.
 func (c *Choice) Target(i int) *mttarget.Target { return c.candidates[i].target }
 
-// Find returns the index of the target with the given name, or -1.
-func (c *Choice) Find(name string) int {
+// Index returns the index of the target with the given name, or -1.
+func (c *Choice) Index(name string) int {
 	return slices.IndexFunc(c.candidates, func(known candidate) bool { return known.target.Name() == name })
 }
 
@@ -120,28 +120,28 @@
 // Wait returns the expected wait at the i-th candidate.
 func (c *Choice) Wait(i int) time.Duration { return c.candidates[i].wait }
 
-// Reserve reports whether the i-th candidate is a reserve.
-func (c *Choice) Reserve(i int) bool { return c.candidates[i].kind == reserve }
+// IsReserve reports whether the i-th candidate is a reserve.
+func (c *Choice) IsReserve(i int) bool { return c.candidates[i].kind == reserve }
 
-// Neighbour reports whether the i-th candidate is a neighbour.
-func (c *Choice) Neighbour(i int) bool { return c.candidates[i].kind == neighbour }
+// IsNeighbour reports whether the i-th candidate is a neighbour.
+func (c *Choice) IsNeighbour(i int) bool { return c.candidates[i].kind == neighbour }
 
 // Refused reports whether the i-th candidate refused its offer or did not answer.
 func (c *Choice) Refused(i int) bool { return c.candidates[i].refused }
 
-// Offered applies the i-th candidate's answer to an offer: the tokens that it has
+// ApplyOffer applies the i-th candidate's answer to an offer: the tokens that it has
 // cached and its expected wait.
-func (c *Choice) Offered(i int, matched uint64, wait time.Duration) {
+func (c *Choice) ApplyOffer(i int, matched uint64, wait time.Duration) {
 	c.candidates[i].matched = matched
 	c.candidates[i].wait = wait
 }
 
-// Refuse marks the i-th candidate as one that refused its offer or did not answer.
+// MarkRefused marks the i-th candidate as one that refused its offer or did not answer.
 // Such candidates are tried last.
-func (c *Choice) Refuse(i int) { c.candidates[i].refused = true }
+func (c *Choice) MarkRefused(i int) { c.candidates[i].refused = true }
 
-// Price sets the i-th candidate's score.
-func (c *Choice) Price(i int, score mtscore.Score) { c.candidates[i].score = score }
+// SetScore sets the i-th candidate's score.
+func (c *Choice) SetScore(i int, score mtscore.Score) { c.candidates[i].score = score }
 
 // Score returns the i-th candidate's score.
 func (c *Choice) Score(i int) mtscore.Score { return c.candidates[i].score }
@@ -175,5 +175,5 @@
 	c.candidates = sorted
 }
 
-// Cut keeps the first n candidates.
-func (c *Choice) Cut(n int) { c.candidates = c.candidates[:min(n, len(c.candidates))] }
+// Truncate keeps the first n candidates.
+func (c *Choice) Truncate(n int) { c.candidates = c.candidates[:min(n, len(c.candidates))] }
--- a/internal/placement/mtdemote/demote.go
+++ b/internal/placement/mtdemote/demote.go
@@ -55,22 +55,22 @@
 	started  atomic.Int64
 }
 
-// Demote tracks the speed of an entry's targets. It is safe for concurrent use.
-type Demote struct {
+// Detector tracks the speed of an entry's targets. It is safe for concurrent use.
+type Detector struct {
 	mu       sync.Mutex
 	paces    atomic.Pointer[map[uint32]*pace]
 	reviewed atomic.Int64
 }
 
 // New returns a detector without targets.
-func New() *Demote {
-	d := &Demote{}
+func New() *Detector {
+	d := &Detector{}
 	d.paces.Store(&map[uint32]*pace{})
 	return d
 }
 
-// Keep removes the targets that are not among ids and adds those that are new.
-func (d *Demote) Keep(ids []uint32) {
+// SetTargets removes the targets that are not among ids and adds those that are new.
+func (d *Detector) SetTargets(ids []uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := make(map[uint32]*pace, len(ids))
@@ -86,15 +86,15 @@
 	d.paces.Store(&next)
 }
 
-// Start records that a target's program restarted.
-func (d *Demote) Start(id uint32) {
+// RecordRestart records that a target's program restarted.
+func (d *Detector) RecordRestart(id uint32) {
 	if p := (*d.paces.Load())[id]; p != nil {
 		p.started.Store(time.Now().UnixNano())
 	}
 }
 
 // Observe records that a first token came after took, where expected was the estimate.
-func (d *Demote) Observe(id uint32, took, expected time.Duration) {
+func (d *Detector) Observe(id uint32, took, expected time.Duration) {
 	p := (*d.paces.Load())[id]
 	if p == nil {
 		return
@@ -126,7 +126,7 @@
 }
 
 // review updates the factors of all targets.
-func (d *Demote) review(now time.Time) {
+func (d *Detector) review(now time.Time) {
 	paces := *d.paces.Load()
 	type entry struct {
 		id      uint32
@@ -159,7 +159,7 @@
 
 // Slowness returns the factor by which the waits and the computing time of a target are multiplied:
 // 1, or more for a target that is demoted or has just restarted.
-func (d *Demote) Slowness(id uint32) float64 {
+func (d *Detector) Slowness(id uint32) float64 {
 	p := (*d.paces.Load())[id]
 	if p == nil {
 		return 1
@@ -177,13 +177,13 @@
 }
 
 // Demoted reports whether a target is demoted.
-func (d *Demote) Demoted(id uint32) bool {
+func (d *Detector) Demoted(id uint32) bool {
 	p := (*d.paces.Load())[id]
 	return p != nil && math.Float64frombits(p.factor.Load()) > 1
 }
 
-// Probe reports whether a probe of a demoted target is due, and if so counts it as made.
-func (d *Demote) Probe(id uint32) bool {
+// TakeProbe reports whether a probe of a demoted target is due, and if so counts it as made.
+func (d *Detector) TakeProbe(id uint32) bool {
 	p := (*d.paces.Load())[id]
 	if p == nil {
 		return false
--- a/internal/placement/mtdirectory/directory.go
+++ b/internal/placement/mtdirectory/directory.go
@@ -26,27 +26,27 @@
 
 // Directory is the share of one process. It is safe for concurrent use.
 type Directory struct {
-	holders *mtholder.Memory
+	holders *mtholder.Table
 }
 
 // New returns an empty directory.
 func New() *Directory { return &Directory{holders: mtholder.New()} }
 
-// Take records the parts that an entry has given an engine to read, or that the engine has read,
+// Record records the parts that an entry has given an engine to read, or that the engine has read,
 // and the store that was sent them, if any.
-func (d *Directory) Take(notice *fleetv1.Notice) {
+func (d *Directory) Record(notice *fleetv1.Notice) {
 	if store := notice.GetStore(); store != "" {
-		d.holders.Keep(notice.GetSalt(), store, notice.GetParts())
+		d.holders.RecordStored(notice.GetSalt(), store, notice.GetParts())
 	}
 	if notice.GetRead() {
-		d.holders.Note(notice.GetSalt(), notice.GetTarget(), notice.GetParts())
+		d.holders.RecordHeld(notice.GetSalt(), notice.GetTarget(), notice.GetParts())
 		return
 	}
-	d.holders.Read(notice.GetSalt(), notice.GetTarget(), notice.GetParts())
+	d.holders.RecordReading(notice.GetSalt(), notice.GetTarget(), notice.GetParts())
 }
 
-// Answer returns the known holders of the part that an entry looks up.
-func (d *Directory) Answer(query *fleetv1.Seek) *fleetv1.Sought {
+// Lookup returns the known holders of the part that an entry looks up.
+func (d *Directory) Lookup(query *fleetv1.Seek) *fleetv1.Sought {
 	result := &fleetv1.Sought{Ask: query.GetAsk()}
 	for _, salt := range query.GetSalts()[:min(maxSalts, len(query.GetSalts()))] {
 		result.Holders = append(result.Holders, d.holders.Holders(salt, query.GetPart(), maxHolders)...)
--- a/internal/placement/mtdirectory/directory_test.go
+++ b/internal/placement/mtdirectory/directory_test.go
@@ -150,7 +150,7 @@
 				continue
 			}
 			seek := &fleetv1.Seek{Salts: b.Salts(q), Part: part.GetId()}
-			b.AddHolders(q, part, f.directories[f.number(keeper.GetId())].Answer(seek).GetHolders())
+			b.AddHolders(q, part, f.directories[f.number(keeper.GetId())].Lookup(seek).GetHolders())
 		}
 	}
 	for _, target := range b.UnconfirmedHolders(q, 3) {
@@ -163,7 +163,7 @@
 	for _, part := range b.Lookups(q) {
 		for _, target := range b.DirectorySidecars(q, part, time.Second) {
 			if !f.gone[target.GetId()] {
-				f.directories[f.number(target.GetId())].Take(&fleetv1.Notice{
+				f.directories[f.number(target.GetId())].Record(&fleetv1.Notice{
 					Target: choice.Target(), Salt: choice.Salt(), Parts: []*fleetv1.Part{part}, Read: true,
 				})
 			}
@@ -255,9 +255,9 @@
 	for salt := range 50 {
 		seek.Salts = append(seek.Salts, fmt.Sprint("model-with-a-long-name@", salt))
 		for target := range 50 {
-			d.Take(&fleetv1.Notice{Salt: seek.GetSalts()[salt], Target: fmt.Sprint("instance-", target), Parts: []*fleetv1.Part{{Id: "p", Tokens: 1}}, Read: true})
+			d.Record(&fleetv1.Notice{Salt: seek.GetSalts()[salt], Target: fmt.Sprint("instance-", target), Parts: []*fleetv1.Part{{Id: "p", Tokens: 1}}, Read: true})
 		}
 	}
-	g.Expect(len(d.Answer(seek).String())).To(BeNumerically("<", 2400))
-	g.Expect(d.Answer(&fleetv1.Seek{Part: "other", Salts: seek.GetSalts()}).GetHolders()).To(BeEmpty())
+	g.Expect(len(d.Lookup(seek).String())).To(BeNumerically("<", 2400))
+	g.Expect(d.Lookup(&fleetv1.Seek{Part: "other", Salts: seek.GetSalts()}).GetHolders()).To(BeEmpty())
 }
--- a/internal/placement/mtholder/holder.go
+++ b/internal/placement/mtholder/holder.go
@@ -46,9 +46,9 @@
 	reportedTTL = time.Minute
 )
 
-// Memory is a bounded table of holders, kept by an entry or a directory. The parts recorded
+// Table is a bounded table of holders, kept by an entry or a directory. The parts recorded
 // least recently are evicted. It is safe for concurrent use.
-type Memory struct {
+type Table struct {
 	mu    sync.Mutex
 	parts map[key]*list.Element
 	// order lists the records, the most recently recorded first.
@@ -85,29 +85,29 @@
 const unknown = -1
 
 // New returns an empty table.
-func New() *Memory {
-	return &Memory{parts: map[key]*list.Element{}, order: list.New()}
+func New() *Table {
+	return &Table{parts: map[key]*list.Element{}, order: list.New()}
 }
 
-// Note records that a target has just read or fetched the parts and now holds them.
-func (m *Memory) Note(salt, target string, parts []*fleetv1.Part) {
+// RecordHeld records that a target has just read or fetched the parts and now holds them.
+func (m *Table) RecordHeld(salt, target string, parts []*fleetv1.Part) {
 	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown})
 }
 
-// Keep records that a store was sent the parts. A full store evicts the least recently used
+// RecordStored records that a store was sent the parts. A full store evicts the least recently used
 // parts without reporting it.
-func (m *Memory) Keep(salt, target string, parts []*fleetv1.Part) {
+func (m *Table) RecordStored(salt, target string, parts []*fleetv1.Part) {
 	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown, store: true})
 }
 
-// Read records that a target was given the parts to read. They cannot be fetched yet, but
+// RecordReading records that a target was given the parts to read. They cannot be fetched yet, but
 // other requests that need them are best sent to the same target.
-func (m *Memory) Read(salt, target string, parts []*fleetv1.Part) {
+func (m *Table) RecordReading(salt, target string, parts []*fleetv1.Part) {
 	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown, reading: true})
 }
 
 // noteAll records one holder for several parts.
-func (m *Memory) noteAll(salt string, parts []*fleetv1.Part, h holding) {
+func (m *Table) noteAll(salt string, parts []*fleetv1.Part, h holding) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, part := range parts {
@@ -115,9 +115,9 @@
 	}
 }
 
-// Learn applies the cache changes that a target reported. A change to 0 tokens is an
+// ApplyChanges applies the cache changes that a target reported. A change to 0 tokens is an
 // eviction.
-func (m *Memory) Learn(target string, changes []*fleetv1.Held) {
+func (m *Table) ApplyChanges(target string, changes []*fleetv1.Held) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -132,7 +132,7 @@
 }
 
 // drop removes one target from the holders of a part.
-func (m *Memory) drop(element *list.Element, target string) {
+func (m *Table) drop(element *list.Element, target string) {
 	r := element.Value.(*record)
 	before := len(r.holdings)
 	r.holdings = slices.DeleteFunc(r.holdings, func(h holding) bool { return h.target == target })
@@ -140,7 +140,7 @@
 }
 
 // evict removes the part that was recorded least recently.
-func (m *Memory) evict() {
+func (m *Table) evict() {
 	oldest := m.order.Back()
 	r := oldest.Value.(*record)
 	m.count -= len(r.holdings)
@@ -150,7 +150,7 @@
 
 // note adds or updates a holder of a part. A holding that is only being read does not replace
 // one that is still valid. A part with too many holders loses the one recorded longest ago.
-func (m *Memory) note(k key, h holding) {
+func (m *Table) note(k key, h holding) {
 	element := m.parts[k]
 	if element == nil {
 		if m.order.Len() >= maxParts {
@@ -205,12 +205,12 @@
 	// Parts is the number of whole parts in the prefix, and Tokens its length.
 	Parts  int
 	Tokens int64
-	// Read is the number of leading tokens that have been read and can be fetched.
-	Read int64
+	// Fetchable is the number of leading tokens that have been read and can be fetched.
+	Fetchable int64
 }
 
 // Matches returns the match of each target that holds the beginning of the prompt.
-func (m *Memory) Matches(salt string, parts []*fleetv1.Part) map[string]Match {
+func (m *Table) Matches(salt string, parts []*fleetv1.Part) map[string]Match {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	found := map[string]Match{}
@@ -229,8 +229,8 @@
 			if h.tokens != unknown {
 				tokens = min(tokens, h.tokens)
 			}
-			if match.Read == match.Tokens && !h.reading {
-				match.Read += tokens
+			if match.Fetchable == match.Tokens && !h.reading {
+				match.Fetchable += tokens
 			}
 			match.Tokens += tokens
 			if tokens == part.GetTokens() {
@@ -242,8 +242,8 @@
 	return found
 }
 
-// Believe merges a holder reported by another process, unless a more recent holding is known.
-func (m *Memory) Believe(holder *fleetv1.Holder, parts []*fleetv1.Part) {
+// MergeHint merges a holder reported by another process, unless a more recent holding is known.
+func (m *Table) MergeHint(holder *fleetv1.Holder, parts []*fleetv1.Part) {
 	h := holding{
 		target: holder.GetTarget(), since: time.Now().Add(-holder.GetAge().AsDuration()), tokens: unknown,
 		reading: holder.GetReading(), store: holder.GetStore(),
@@ -260,7 +260,7 @@
 }
 
 // find returns the holding of one target for a part.
-func (m *Memory) find(k key, target string) (holding, bool) {
+func (m *Table) find(k key, target string) (holding, bool) {
 	if element := m.parts[k]; element != nil {
 		for _, h := range element.Value.(*record).holdings {
 			if h.target == target {
@@ -271,10 +271,10 @@
 	return holding{}, false
 }
 
-// Answer applies a target's reply to a query for the given parts. Parts missing from the reply
+// ApplyReply applies a target's reply to a query for the given parts. Parts missing from the reply
 // are removed, unless their holding is so recent that the reply may not cover it.
-func (m *Memory) Answer(target string, salts, parts []string, found []*fleetv1.Held) {
-	m.Learn(target, found)
+func (m *Table) ApplyReply(target string, salts, parts []string, found []*fleetv1.Held) {
+	m.ApplyChanges(target, found)
 	reported := map[key]bool{}
 	for _, f := range found {
 		reported[key{f.GetSalt(), f.GetPart()}] = true
@@ -298,7 +298,7 @@
 
 // Holders returns the targets that hold a part or are reading it, the most recent first and at most
 // limit of them.
-func (m *Memory) Holders(salt, part string, limit int) []*fleetv1.Holder {
+func (m *Table) Holders(salt, part string, limit int) []*fleetv1.Holder {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	element := m.parts[key{salt, part}]
@@ -320,8 +320,8 @@
 	return holders
 }
 
-// Drop removes a target from the holders of the parts.
-func (m *Memory) Drop(salt, target string, parts []*fleetv1.Part) {
+// Remove removes a target from the holders of the parts.
+func (m *Table) Remove(salt, target string, parts []*fleetv1.Part) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, part := range parts {
@@ -331,8 +331,8 @@
 	}
 }
 
-// Forget removes a target from all parts, because it has restarted or changed its weights.
-func (m *Memory) Forget(target string) {
+// RemoveTarget removes a target from all parts, because it has restarted or changed its weights.
+func (m *Table) RemoveTarget(target string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for element := m.order.Front(); element != nil; element = element.Next() {
--- a/internal/placement/mtholder/holder_test.go
+++ b/internal/placement/mtholder/holder_test.go
@@ -20,13 +20,13 @@
 func TestMatchIsAPrefix(t *testing.T) {
 	g := NewWithT(t)
 	m := mtholder.New()
-	m.Note("s", "a", parts()[:2])
-	m.Note("s", "b", parts()[1:])
-	m.Learn("c", []*fleetv1.Held{{Salt: "s", Part: "rules", Tokens: 60}, {Salt: "s", Part: "dossier", Tokens: 200}})
+	m.RecordHeld("s", "a", parts()[:2])
+	m.RecordHeld("s", "b", parts()[1:])
+	m.ApplyChanges("c", []*fleetv1.Held{{Salt: "s", Part: "rules", Tokens: 60}, {Salt: "s", Part: "dossier", Tokens: 200}})
 	matches := m.Matches("s", parts())
-	g.Expect(matches["a"]).To(Equal(mtholder.Match{Parts: 2, Tokens: 300, Read: 300}))
+	g.Expect(matches["a"]).To(Equal(mtholder.Match{Parts: 2, Tokens: 300, Fetchable: 300}))
 	g.Expect(matches).NotTo(HaveKey("b"))
-	g.Expect(matches["c"]).To(Equal(mtholder.Match{Parts: 0, Tokens: 60, Read: 60}))
+	g.Expect(matches["c"]).To(Equal(mtholder.Match{Parts: 0, Tokens: 60, Fetchable: 60}))
 	g.Expect(m.Matches("other weights", parts())).To(BeEmpty())
 }
 
@@ -34,11 +34,11 @@
 func TestPartsBeingReadCannotBeFetched(t *testing.T) {
 	g := NewWithT(t)
 	m := mtholder.New()
-	m.Note("s", "a", parts()[:1])
-	m.Read("s", "a", parts()[:2])
-	g.Expect(m.Matches("s", parts())["a"]).To(Equal(mtholder.Match{Parts: 2, Tokens: 300, Read: 100}))
-	m.Note("s", "a", parts()[:2])
-	g.Expect(m.Matches("s", parts())["a"].Read).To(Equal(int64(300)))
+	m.RecordHeld("s", "a", parts()[:1])
+	m.RecordReading("s", "a", parts()[:2])
+	g.Expect(m.Matches("s", parts())["a"]).To(Equal(mtholder.Match{Parts: 2, Tokens: 300, Fetchable: 100}))
+	m.RecordHeld("s", "a", parts()[:2])
+	g.Expect(m.Matches("s", parts())["a"].Fetchable).To(Equal(int64(300)))
 }
 
 // An unconfirmed holder expires within seconds. One that the engine reported stays until it reports
@@ -47,15 +47,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		m := mtholder.New()
-		m.Note("s", "a", parts()[:1])
-		m.Learn("b", []*fleetv1.Held{{Salt: "s", Part: "rules", Tokens: 100}})
+		m.RecordHeld("s", "a", parts()[:1])
+		m.ApplyChanges("b", []*fleetv1.Held{{Salt: "s", Part: "rules", Tokens: 100}})
 		time.Sleep(5 * time.Second)
 		g.Expect(m.Matches("s", parts())).NotTo(HaveKey("a"))
 		g.Expect(m.Matches("s", parts())).To(HaveKey("b"))
-		m.Learn("b", []*fleetv1.Held{{Salt: "s", Part: "rules"}})
+		m.ApplyChanges("b", []*fleetv1.Held{{Salt: "s", Part: "rules"}})
 		g.Expect(m.Matches("s", parts())).To(BeEmpty())
-		m.Learn("b", []*fleetv1.Held{{Salt: "s", Part: "rules", Tokens: 100}})
-		m.Forget("b")
+		m.ApplyChanges("b", []*fleetv1.Held{{Salt: "s", Part: "rules", Tokens: 100}})
+		m.RemoveTarget("b")
 		g.Expect(m.Matches("s", parts())).To(BeEmpty())
 	})
 }
@@ -66,7 +66,7 @@
 		g := NewWithT(t)
 		m := mtholder.New()
 		for i := range 65 {
-			m.Note("s", fmt.Sprint("e", i), parts()[:1])
+			m.RecordHeld("s", fmt.Sprint("e", i), parts()[:1])
 			time.Sleep(time.Millisecond)
 		}
 		matches := m.Matches("s", parts())
@@ -83,7 +83,7 @@
 	part := func(i int) []*fleetv1.Part { return []*fleetv1.Part{{Id: fmt.Sprint("p", i), Tokens: 100}} }
 	for i := range 2000 {
 		for engine := range 64 {
-			m.Note("s", fmt.Sprint("e", engine), part(i))
+			m.RecordHeld("s", fmt.Sprint("e", engine), part(i))
 		}
 	}
 	holders := 0
@@ -93,7 +93,7 @@
 	g.Expect(holders).To(BeNumerically("<=", 4*16384))
 	g.Expect(m.Matches("s", part(1999))).To(HaveLen(64))
 	for engine := range 64 {
-		m.Forget(fmt.Sprint("e", engine))
+		m.RemoveTarget(fmt.Sprint("e", engine))
 	}
 	g.Expect(m.Matches("s", part(1999))).To(BeEmpty())
 }
--- a/internal/placement/mtledger/ledger.go
+++ b/internal/placement/mtledger/ledger.go
@@ -31,8 +31,8 @@
 // newer weights a run may begin on older ones.
 func New(gracePeriod time.Duration) *Ledger { return &Ledger{gracePeriod: gracePeriod} }
 
-// Stored records the content of the store at a revision.
-func (l *Ledger) Stored(namings *fleetv1.Namings, revision int64) {
+// RecordStored records the content of the store at a revision.
+func (l *Ledger) RecordStored(namings *fleetv1.Namings, revision int64) {
 	l.revision = revision
 	l.stored = map[key]time.Duration{}
 	for _, weights := range namings.GetWeights() {
@@ -45,8 +45,8 @@
 // Revision returns the revision of the object in the store; 0 if there is none.
 func (l *Ledger) Revision() int64 { return l.revision }
 
-// Due reports whether the ages of published weights have to be written.
-func (l *Ledger) Due(published []*fleetv1.Weights) bool {
+// WriteDue reports whether the ages of published weights have to be written.
+func (l *Ledger) WriteDue(published []*fleetv1.Weights) bool {
 	interval := l.gracePeriod / writesPerVersion
 	for _, weights := range published {
 		for _, age := range weights.GetAges() {
--- a/internal/placement/mtledger/ledger_test.go
+++ b/internal/placement/mtledger/ledger_test.go
@@ -28,9 +28,9 @@
 	ledger := mtledger.New(gracePeriod)
 	writes := 0
 	for age := time.Duration(0); age < time.Minute; age += 100 * time.Millisecond {
-		if weights := published(age); ledger.Due(weights) {
+		if weights := published(age); ledger.WriteDue(weights) {
 			writes++
-			ledger.Stored(&fleetv1.Namings{Weights: weights}, int64(writes))
+			ledger.RecordStored(&fleetv1.Namings{Weights: weights}, int64(writes))
 		}
 	}
 	g.Expect(writes).To(Equal(4))
@@ -42,13 +42,13 @@
 func TestAgeOfEachVersionIsWritten(t *testing.T) {
 	g := NewWithT(t)
 	ledger := mtledger.New(gracePeriod)
-	ledger.Stored(&fleetv1.Namings{Weights: published(gracePeriod)}, 1)
-	g.Expect(ledger.Due(published(time.Minute, time.Second))).To(BeFalse())
-	g.Expect(ledger.Due(published(time.Minute, 3*time.Second))).To(BeTrue())
+	ledger.RecordStored(&fleetv1.Namings{Weights: published(gracePeriod)}, 1)
+	g.Expect(ledger.WriteDue(published(time.Minute, time.Second))).To(BeFalse())
+	g.Expect(ledger.WriteDue(published(time.Minute, 3*time.Second))).To(BeTrue())
 }
 
 // Guards against a write at every check where no grace period is set.
 func TestNothingIsWrittenWithoutAGracePeriod(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(mtledger.New(0).Due(published(time.Minute))).To(BeFalse())
+	g.Expect(mtledger.New(0).WriteDue(published(time.Minute))).To(BeFalse())
 }
--- a/internal/placement/mtmemory/memory.go
+++ b/internal/placement/mtmemory/memory.go
@@ -22,9 +22,9 @@
 	sets        = 16384
 	ways        = 4
 	lockStripes = 64
-	// Holders is the number of targets remembered per mark. A hot prefix that more
+	// MaxHolders is the number of targets remembered per mark. A hot prefix that more
 	// targets hold is found without the memory.
-	Holders = 4
+	MaxHolders = 4
 )
 
 // sightingTTL is how long a sighting is returned by lookups.
@@ -35,7 +35,7 @@
 	tag      uint64
 	lastSeen int64
 	requests decayingCounter
-	targets  [Holders]uint32
+	targets  [MaxHolders]uint32
 }
 
 // Memory is a table of sightings of fixed size. It is safe for concurrent use.
@@ -55,8 +55,8 @@
 	return tag, int(binary.LittleEndian.Uint64(mark[8:]) % sets)
 }
 
-// See records that a target, which is not 0, holds a mark.
-func (m *Memory) See(mark [mtchain.MarkSize]byte, target uint32) {
+// Record records that a target, which is not 0, holds a mark.
+func (m *Memory) Record(mark [mtchain.MarkSize]byte, target uint32) {
 	tag, set := locate(mark)
 	lock := &m.locks[set%lockStripes]
 	lock.Lock()
@@ -90,7 +90,7 @@
 // full.
 func (s *sighting) moveToFront(target uint32) {
 	for i := range s.targets {
-		if s.targets[i] == target || i == Holders-1 {
+		if s.targets[i] == target || i == MaxHolders-1 {
 			copy(s.targets[1:i+1], s.targets[:i])
 			break
 		}
@@ -98,23 +98,23 @@
 	s.targets[0] = target
 }
 
-// Count counts a request, so that a mark's share of all requests can be computed.
-func (m *Memory) Count() {
+// CountRequest counts a request, so that a mark's share of all requests can be computed.
+func (m *Memory) CountRequest() {
 	m.requestsMu.Lock()
 	defer m.requestsMu.Unlock()
 	m.requests.add(time.Now().UnixNano())
 }
 
-// Requests returns the number of recent requests, with older ones decayed.
-func (m *Memory) Requests() float64 {
+// RecentRequests returns the number of recent requests, with older ones decayed.
+func (m *Memory) RecentRequests() float64 {
 	m.requestsMu.Lock()
 	defer m.requestsMu.Unlock()
 	return m.requests.value(time.Now().UnixNano())
 }
 
-// Sightings returns the number of recent requests that had a mark, with older ones
+// RecentRequestsFor returns the number of recent requests that had a mark, with older ones
 // decayed.
-func (m *Memory) Sightings(mark [mtchain.MarkSize]byte) float64 {
+func (m *Memory) RecentRequestsFor(mark [mtchain.MarkSize]byte) float64 {
 	tag, set := locate(mark)
 	lock := &m.locks[set%lockStripes]
 	lock.Lock()
@@ -146,7 +146,7 @@
 	for i := range s.targets {
 		if s.targets[i] == target {
 			copy(s.targets[i:], s.targets[i+1:])
-			s.targets[Holders-1] = 0
+			s.targets[MaxHolders-1] = 0
 			return
 		}
 	}
@@ -154,7 +154,7 @@
 
 // Find returns the targets that were seen with a mark, newest first and padded with
 // 0, and the time since the last sighting.
-func (m *Memory) Find(mark [mtchain.MarkSize]byte) (targets [Holders]uint32, age time.Duration) {
+func (m *Memory) Find(mark [mtchain.MarkSize]byte) (targets [MaxHolders]uint32, age time.Duration) {
 	tag, set := locate(mark)
 	lock := &m.locks[set%lockStripes]
 	lock.Lock()
--- a/internal/placement/mtnaming/naming.go
+++ b/internal/placement/mtnaming/naming.go
@@ -47,9 +47,9 @@
 // weights after newer ones were named.
 func New(allowed time.Duration) *Naming { return &Naming{allowed: allowed} }
 
-// Listed returns weights that were read from a listing of the store, which does not contain
+// FromListing returns weights that were read from a listing of the store, which does not contain
 // the time at which they were named. Their age is marked as not certain.
-func Listed(weights *fleetv1.Weights) *fleetv1.Weights {
+func FromListing(weights *fleetv1.Weights) *fleetv1.Weights {
 	listed := proto.CloneOf(weights)
 	listed.Ages = []*fleetv1.Age{{Version: weights.GetVersion(), Age: durationpb.New(0)}}
 	return listed
@@ -102,9 +102,9 @@
 	n.versions = slices.Delete(n.versions, 0, first)
 }
 
-// Behind returns how long ago the first version newer than number was named, or 0 if there is
+// OutdatedFor returns how long ago the first version newer than number was named, or 0 if there is
 // none.
-func (n *Naming) Behind(number int64) time.Duration {
+func (n *Naming) OutdatedFor(number int64) time.Duration {
 	var first time.Time
 	for _, v := range n.versions {
 		if at := n.namedAt(v); v.number > number && (first.IsZero() || at.Before(first)) {
--- a/internal/placement/mtnaming/naming_test.go
+++ b/internal/placement/mtnaming/naming_test.go
@@ -32,11 +32,11 @@
 		g.Expect(old.Merge(weights(2))).To(BeTrue())
 		time.Sleep(5 * time.Second)
 		fresh := mtnaming.New(allowed)
-		g.Expect(fresh.Merge(mtnaming.Listed(weights(2)))).To(BeTrue())
+		g.Expect(fresh.Merge(mtnaming.FromListing(weights(2)))).To(BeTrue())
 		g.Expect(fresh.Merge(old.Snapshot())).To(BeFalse())
 		time.Sleep(time.Second)
-		g.Expect(fresh.Behind(1)).To(Equal(6 * time.Second))
-		g.Expect(fresh.Behind(2)).To(BeZero())
+		g.Expect(fresh.OutdatedFor(1)).To(Equal(6 * time.Second))
+		g.Expect(fresh.OutdatedFor(2)).To(BeZero())
 		g.Expect(fresh.Age()).To(Equal(6 * time.Second))
 	})
 }
@@ -52,10 +52,10 @@
 		old.Merge(weights(3))
 		time.Sleep(time.Second)
 		fresh := mtnaming.New(allowed)
-		fresh.Merge(mtnaming.Listed(weights(3)))
+		fresh.Merge(mtnaming.FromListing(weights(3)))
 		fresh.Merge(old.Snapshot())
-		g.Expect(fresh.Behind(1)).To(Equal(7 * time.Second))
-		g.Expect(fresh.Behind(2)).To(Equal(time.Second))
+		g.Expect(fresh.OutdatedFor(1)).To(Equal(7 * time.Second))
+		g.Expect(fresh.OutdatedFor(2)).To(Equal(time.Second))
 	})
 }
 
@@ -65,16 +65,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		first, second := mtnaming.New(allowed), mtnaming.New(allowed)
-		first.Merge(mtnaming.Listed(weights(2)))
+		first.Merge(mtnaming.FromListing(weights(2)))
 		second.Merge(first.Snapshot())
 		first.Merge(second.Snapshot())
 		for _, n := range []*mtnaming.Naming{first, second} {
-			g.Expect(n.Behind(1)).To(Equal(2 * time.Second))
+			g.Expect(n.OutdatedFor(1)).To(Equal(2 * time.Second))
 			g.Expect(n.Uncertain(1)).To(BeTrue())
 			g.Expect(n.Uncertain(2)).To(BeFalse())
 			n.Merge(weights(2, age(2, time.Second, true)))
 			g.Expect(n.Uncertain(1)).To(BeFalse())
-			g.Expect(n.Behind(1)).To(Equal(time.Second))
+			g.Expect(n.OutdatedFor(1)).To(Equal(time.Second))
 		}
 	})
 }
@@ -90,9 +90,9 @@
 		other.Merge(late.Snapshot())
 		late.Merge(other.Snapshot())
 		for _, n := range []*mtnaming.Naming{late, other} {
-			g.Expect(n.Behind(1)).To(Equal(6 * time.Second))
+			g.Expect(n.OutdatedFor(1)).To(Equal(6 * time.Second))
 			n.Merge(weights(2, age(2, 5*time.Second, true)))
-			g.Expect(n.Behind(1)).To(Equal(5 * time.Second))
+			g.Expect(n.OutdatedFor(1)).To(Equal(5 * time.Second))
 		}
 	})
 }
@@ -105,7 +105,7 @@
 			n := mtnaming.New(allowed)
 			n.Merge(weights(2, age(2, math.MaxInt64, certain)))
 			time.Sleep(time.Second)
-			g.Expect(n.Behind(1)).To(BeNumerically(">", allowed))
+			g.Expect(n.OutdatedFor(1)).To(BeNumerically(">", allowed))
 			g.Expect(n.Snapshot().GetAges()[0].GetAge().AsDuration()).To(BeNumerically("<", 24*time.Hour))
 		}
 	})
@@ -118,8 +118,8 @@
 		g := NewWithT(t)
 		n := mtnaming.New(allowed)
 		n.Merge(weights(2, age(2, time.Second, true), age(9, time.Minute, true)))
-		g.Expect(n.Behind(2)).To(BeZero())
-		g.Expect(n.Behind(1)).To(Equal(time.Second))
+		g.Expect(n.OutdatedFor(2)).To(BeZero())
+		g.Expect(n.OutdatedFor(1)).To(Equal(time.Second))
 	})
 }
 
@@ -133,8 +133,8 @@
 			time.Sleep(3 * time.Second)
 		}
 		g.Expect(n.Snapshot().GetAges()).To(HaveLen(4))
-		g.Expect(n.Behind(1)).To(BeNumerically(">", allowed))
-		g.Expect(n.Behind(39)).To(Equal(3 * time.Second))
+		g.Expect(n.OutdatedFor(1)).To(BeNumerically(">", allowed))
+		g.Expect(n.OutdatedFor(39)).To(Equal(3 * time.Second))
 	})
 }
 
--- a/internal/placement/mtplace/choose.go
+++ b/internal/placement/mtplace/choose.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// Probes limits the candidates of one request: two homes, the homes one level up and down,
+	// MaxCandidates limits the candidates of one request: two homes, the homes one level up and down,
 	// and two remembered targets. Each is asked for an offer, a small call of some 50
 	// microseconds; the calls run in parallel.
-	Probes = 6
+	MaxCandidates = 6
 	// uniqueShare is the share of a prompt assumed to be the caller's own question. The homes are
 	// derived from the largest power-of-two number of marks that leaves it out.
 	uniqueShare = 0.25
@@ -42,7 +42,7 @@
 
 // Choose returns the candidates of a request, ordered by the local estimate of their cost. The
 // prompt length is in tokens.
-func (p *Place) Choose(chain mtchain.Chain, prompt uint64) *mtchoice.Choice {
+func (p *Placer) Choose(chain mtchain.Chain, prompt uint64) *mtchoice.Choice {
 	f := p.fleet.Load()
 	depth := homeDepth(chain.Len())
 	c := mtchoice.New(chain, prompt, depth)
@@ -52,14 +52,14 @@
 	if depth == 0 {
 		p.addSamples(f, c)
 	} else {
-		c.SetLeast(p.minDepth(f, chain))
+		c.SetHolderMarks(p.minDepth(f, chain))
 		age := p.addRemembered(f, c)
 		p.addHomes(f, c)
-		defer func() { c.SetFresh(p.fresh(c, age)) }()
+		defer func() { c.SetSkipOffers(p.fresh(c, age)) }()
 	}
 	p.updateScores(c)
 	c.Sort(func(i int) bool { return c.Target(i).Usable() })
-	c.Cut(Probes)
+	c.Truncate(MaxCandidates)
 	return c
 }
 
@@ -74,7 +74,7 @@
 }
 
 // addSamples adds sampled targets for a request without a prefix.
-func (p *Place) addSamples(f *fleet, c *mtchoice.Choice) {
+func (p *Placer) addSamples(f *fleet, c *mtchoice.Choice) {
 	for range plainSamples {
 		c.AddHome(p.sample(f))
 	}
@@ -85,9 +85,9 @@
 
 // addRemembered adds the targets that were last seen with the longest remembered prefix of the
 // prompt. It returns the age of that sighting.
-func (p *Place) addRemembered(f *fleet, c *mtchoice.Choice) time.Duration {
+func (p *Placer) addRemembered(f *fleet, c *mtchoice.Choice) time.Duration {
 	chain := c.Chain()
-	for depth := chain.Len(); depth >= c.Least(); depth = below(depth) {
+	for depth := chain.Len(); depth >= c.HolderMarks(); depth = below(depth) {
 		targets, age := p.memory.Find(chain.At(depth - 1))
 		if targets[0] == 0 {
 			continue
@@ -107,15 +107,15 @@
 // minDepth returns the number of marks of a prompt that a target must hold to count as a holder:
 // half of them, or fewer if the shorter prefix accounts for less than one target's share of the
 // requests.
-func (p *Place) minDepth(f *fleet, chain mtchain.Chain) int {
+func (p *Placer) minDepth(f *fleet, chain mtchain.Chain) int {
 	least := int(math.Ceil(holderShare * float64(chain.Len())))
-	requests := p.memory.Requests()
+	requests := p.memory.RecentRequests()
 	if requests < minSamples*float64(len(f.list)) {
 		return least
 	}
 	limit := hotShare * requests / float64(len(f.list))
 	for depth := below(least); depth > 0; depth = below(depth) {
-		if p.memory.Sightings(chain.At(depth-1)) > limit {
+		if p.memory.RecentRequestsFor(chain.At(depth-1)) > limit {
 			break
 		}
 		least = depth
@@ -143,9 +143,9 @@
 
 // addHomes adds the current homes of the prompt's prefix, the next home as a reserve, and one home
 // each a level up and down, where another entry may have placed a prompt of a different length.
-func (p *Place) addHomes(f *fleet, c *mtchoice.Choice) {
+func (p *Placer) addHomes(f *fleet, c *mtchoice.Choice) {
 	chain, depth := c.Chain(), c.Depth()
-	var space [mtwiden.Most + 1]int32
+	var space [mtwiden.MaxHomes + 1]int32
 	mark := chain.At(depth - 1)
 	width := p.widen.Width(mark)
 	for i, home := range f.homes.Append(space[:0], mark, width+1) {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (p *Place) addNeighbour(f *fleet, c *mtchoice.Choice, depth int) {
+func (p *Placer) addNeighbour(f *fleet, c *mtchoice.Choice, depth int) {
 	var space [1]int32
 	for _, home := range f.homes.Append(space[:0], c.Chain().At(depth-1), 1) {
 		c.AddNeighbour(f.list[home])
@@ -172,28 +172,28 @@
 
 // fresh reports whether the best candidate is an idle holder whose sighting and state are recent,
 // so that the request can run there without offers.
-func (p *Place) fresh(c *mtchoice.Choice, age time.Duration) bool {
+func (p *Placer) fresh(c *mtchoice.Choice, age time.Duration) bool {
 	if c.Len() == 0 || age > maxSightingAge {
 		return false
 	}
 	best := c.Target(0)
-	return isHolder(c, 0) && !p.demote.Demoted(best.ID()) && best.Age() < maxStateAge && best.Wait() < maxIdleWait
+	return isHolder(c, 0) && !p.demote.Demoted(best.ID()) && best.ReportAge() < maxStateAge && best.Wait() < maxIdleWait
 }
 
 // isHolder reports whether a candidate has cached enough of the prompt.
 func isHolder(c *mtchoice.Choice, i int) bool {
-	return c.Matched(i) > 0 && c.Matched(i) >= uint64(c.Least()*c.Chain().Span()/mtchain.TokenBytes)
+	return c.Matched(i) > 0 && c.Matched(i) >= uint64(c.HolderMarks()*c.Chain().Span()/mtchain.TokenBytes)
 }
 
 // updateScores computes the scores of all candidates.
-func (p *Place) updateScores(c *mtchoice.Choice) {
+func (p *Placer) updateScores(c *mtchoice.Choice) {
 	for i := range c.Len() {
 		t := c.Target(i)
-		uncached := c.Prompt()
+		uncached := c.PromptTokens()
 		if isHolder(c, i) {
-			uncached -= min(c.Prompt(), c.Matched(i))
+			uncached -= min(c.PromptTokens(), c.Matched(i))
 		}
-		c.Price(i, mtscore.Of(c.Wait(i), uncached, p.rate(), t.Distance(), p.demote.Slowness(t.ID())))
+		c.SetScore(i, mtscore.Of(c.Wait(i), uncached, p.rate(), t.RoundTrip(), p.demote.Slowness(t.ID())))
 	}
 }
 
@@ -203,7 +203,7 @@
 // the holders until the prefix widens. A demoted target counts as a holder only for its probes:
 // its prefixes move to other targets, each computed once there, since otherwise all requests for
 // them would be late as long as it stays slow.
-func (p *Place) Rank(c *mtchoice.Choice) {
+func (p *Placer) Rank(c *mtchoice.Choice) {
 	p.updateScores(c)
 	best, other := -1, -1
 	preferred := make(map[*mttarget.Target]bool, c.Len())
@@ -214,7 +214,7 @@
 		case isHolder(c, i) && !excluded:
 			best = cheaper(c, best, i)
 			preferred[c.Target(i)] = true
-		case c.Neighbour(i), excluded:
+		case c.IsNeighbour(i), excluded:
 		default:
 			other = cheaper(c, other, i)
 		}
@@ -226,9 +226,9 @@
 }
 
 // excluded reports whether a target is demoted and this request is not its probe.
-func (p *Place) excluded(c *mtchoice.Choice, i int) bool {
+func (p *Placer) excluded(c *mtchoice.Choice, i int) bool {
 	id := c.Target(i).ID()
-	return p.demote.Demoted(id) && (!isHolder(c, i) || !p.demote.Probe(id))
+	return p.demote.Demoted(id) && (!isHolder(c, i) || !p.demote.TakeProbe(id))
 }
 
 // cheaper returns the index of the candidate with the lower score; best is -1 if there is none yet.
@@ -241,19 +241,19 @@
 
 // widens updates the number of homes of the prefix and reports whether it gains one for this
 // request.
-func (p *Place) widens(c *mtchoice.Choice, best, other int) bool {
+func (p *Placer) widens(c *mtchoice.Choice, best, other int) bool {
 	if c.Depth() == 0 {
 		return false
 	}
 	mark := c.Chain().At(c.Depth() - 1)
 	before := p.widen.Width(mark)
-	after := p.widen.Waited(mark, time.Duration(c.Score(best)), time.Duration(c.Score(other)))
+	after := p.widen.Observe(mark, time.Duration(c.Score(best)), time.Duration(c.Score(other)))
 	return after > before
 }
 
 // Homes returns the names of the first n homes of a prompt, without remembered targets. It is meant
 // for tests and operators.
-func (p *Place) Homes(chain mtchain.Chain, n int) []string {
+func (p *Placer) Homes(chain mtchain.Chain, n int) []string {
 	f := p.fleet.Load()
 	depth := homeDepth(chain.Len())
 	if depth == 0 {
--- a/internal/placement/mtplace/learn.go
+++ b/internal/placement/mtplace/learn.go
@@ -10,41 +10,41 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// Heard records the state reported by a target, in whichever message it arrived.
-func (p *Place) Heard(state *mustardtidev1.State) {
+// UpdateState records the state reported by a target, in whichever message it arrived.
+func (p *Placer) UpdateState(state *mustardtidev1.State) {
 	t := p.fleet.Load().byName[state.GetTarget()]
 	if t == nil {
 		return
 	}
-	if t.Restarted(state.GetIncarnation()) {
-		p.demote.Start(t.ID())
+	if t.RecordIncarnation(state.GetIncarnation()) {
+		p.demote.RecordRestart(t.ID())
 	}
 	// The reported wait applies to a client account without waiting requests; one that has some
 	// also waits for its own backlog.
-	wait := max(state.GetWait().AsDuration(), mtscore.Compute(state.GetBacklog(), state.GetPrefill()))
+	wait := max(state.GetWait().AsDuration(), mtscore.ComputeTime(state.GetBacklog(), state.GetPrefill()))
 	p.observeRate(state.GetPrefill())
-	t.Say(wait, state.GetPrefill(), state.GetLeaving())
+	t.Update(wait, state.GetPrefill(), state.GetLeaving())
 }
 
-// Sent records that a request is sent to a candidate. From now on the target counts as a
+// RecordSent records that a request is sent to a candidate. From now on the target counts as a
 // holder of the prefix, since it will hold it before another request could compute it. A target
 // that is not a candidate is ignored.
-func (p *Place) Sent(c *mtchoice.Choice, target string) {
-	i := c.Find(target)
+func (p *Placer) RecordSent(c *mtchoice.Choice, target string) {
+	i := c.Index(target)
 	if i < 0 {
 		return
 	}
 	t := c.Target(i)
-	t.Send(mtscore.Compute(c.Prompt()-min(c.Prompt(), c.Matched(i)), t.Prefill()))
-	p.memory.Count()
+	t.AddSentCost(mtscore.ComputeTime(c.PromptTokens()-min(c.PromptTokens(), c.Matched(i)), t.PrefillRate()))
+	p.memory.CountRequest()
 	chain := c.Chain()
 	for depth := chain.Len(); depth > 0; depth = below(depth) {
-		p.memory.See(chain.At(depth-1), t.ID())
+		p.memory.Record(chain.At(depth-1), t.ID())
 	}
 }
 
-// Missed records that a target had only the given number of tokens of a chain cached.
-func (p *Place) Missed(chain mtchain.Chain, target string, matched uint64) {
+// RecordMiss records that a target had only the given number of tokens of a chain cached.
+func (p *Placer) RecordMiss(chain mtchain.Chain, target string, matched uint64) {
 	t := p.fleet.Load().byName[target]
 	if t == nil {
 		return
@@ -54,17 +54,17 @@
 	}
 }
 
-// First compares the time from the start of a run to its first token with the expected
+// RecordFirstToken compares the time from the start of a run to its first token with the expected
 // time: the wait known when the choice was made plus the time to compute the uncached tokens. The
 // wait reported after the run was accepted is not used: it would include the computing of the run
 // itself at the target's own rate.
-func (p *Place) First(c *mtchoice.Choice, target string, took time.Duration, uncached uint64) {
-	i := c.Find(target)
+func (p *Placer) RecordFirstToken(c *mtchoice.Choice, target string, took time.Duration, uncached uint64) {
+	i := c.Index(target)
 	if i < 0 {
 		return
 	}
 	t, wait := c.Target(i), c.Wait(i)
-	p.demote.Observe(t.ID(), took, base+wait+mtscore.Compute(uncached, p.rate())+t.Distance())
+	p.demote.Observe(t.ID(), took, base+wait+mtscore.ComputeTime(uncached, p.rate())+t.RoundTrip())
 }
 
 const (
@@ -78,10 +78,10 @@
 
 // rate returns the fleet's mean prefill rate. Slowness is measured against this rate, since a slow
 // target's own rate would explain its late answers.
-func (p *Place) rate() float64 { return math.Float64frombits(p.meanRate.Load()) }
+func (p *Placer) rate() float64 { return math.Float64frombits(p.meanRate.Load()) }
 
 // observeRate adds a target's prefill rate to the fleet's mean; 0 means that it is unknown.
-func (p *Place) observeRate(rate float64) {
+func (p *Placer) observeRate(rate float64) {
 	mean := p.rate()
 	switch {
 	case rate <= 0:
--- a/internal/placement/mtplace/place.go
+++ b/internal/placement/mtplace/place.go
@@ -36,14 +36,14 @@
 	homes  *mthomes.Homes
 }
 
-// Place chooses among the targets of one service. It is safe for concurrent use; requests read the
+// Placer chooses among the targets of one service. It is safe for concurrent use; requests read the
 // membership without a lock.
-type Place struct {
+type Placer struct {
 	datacentre  string
 	fleet       atomic.Pointer[fleet]
 	memory      *mtmemory.Memory
-	widen       *mtwiden.Widen
-	demote      *mtdemote.Demote
+	widen       *mtwiden.Tracker
+	demote      *mtdemote.Detector
 	sampleState atomic.Uint64
 	// meanRate holds the bits of a float64, in tokens per second; 0 means that it is unknown.
 	meanRate atomic.Uint64
@@ -54,8 +54,8 @@
 
 // New returns a chooser without targets for an entry in the given data centre. The seed determines
 // which targets it samples.
-func New(datacentre string, seed uint64) *Place {
-	p := &Place{
+func New(datacentre string, seed uint64) *Placer {
+	p := &Placer{
 		datacentre: datacentre,
 		memory:     mtmemory.New(),
 		widen:      mtwiden.New(),
@@ -66,8 +66,8 @@
 	return p
 }
 
-// Members replaces the targets that may get work. What is known of targets that remain is kept.
-func (p *Place) Members(members []*mustardtidev1.Member) {
+// SetMembers replaces the targets that may get work. What is known of targets that remain is kept.
+func (p *Placer) SetMembers(members []*mustardtidev1.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.fleet.Load()
@@ -89,12 +89,12 @@
 		return 1
 	})
 	next.homes = mthomes.New(names(next.list))
-	p.demote.Keep(ids(next.list))
+	p.demote.SetTargets(ids(next.list))
 	p.fleet.Store(next)
 }
 
 // distance returns the assumed round-trip time to a member.
-func (p *Place) distance(m *mustardtidev1.Member) time.Duration {
+func (p *Placer) distance(m *mustardtidev1.Member) time.Duration {
 	if m.GetDatacentre() == p.datacentre {
 		return localRoundTrip
 	}
@@ -118,7 +118,7 @@
 }
 
 // sample returns a pseudo-random target of the fleet, or nil if there is none.
-func (p *Place) sample(f *fleet) *mttarget.Target {
+func (p *Placer) sample(f *fleet) *mttarget.Target {
 	if len(f.list) == 0 {
 		return nil
 	}
--- a/internal/placement/mtplace/place_bench_test.go
+++ b/internal/placement/mtplace/place_bench_test.go
@@ -38,7 +38,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			place := mtplace.New("0", 1)
-			place.Members(members(targets))
+			place.SetMembers(members(targets))
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			chains := prompts()
@@ -47,7 +47,7 @@
 			for b.Loop() {
 				choice := place.Choose(chains[i%len(chains)], 10240)
 				place.Rank(choice)
-				place.Sent(choice, choice.Target(0).Name())
+				place.RecordSent(choice, choice.Target(0).Name())
 				i++
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc), "state-B")
@@ -62,7 +62,7 @@
 			list := members(targets)
 			place := mtplace.New("0", 1)
 			for b.Loop() {
-				place.Members(list)
+				place.SetMembers(list)
 			}
 		})
 	}
--- a/internal/placement/mtscore/score.go
+++ b/internal/placement/mtscore/score.go
@@ -27,12 +27,12 @@
 // tokens per second (0 if unknown), the round-trip time, and the factor by which
 // the target is slower than its fleet.
 func Of(wait time.Duration, uncached uint64, prefillRate float64, roundTrip time.Duration, slowness float64) Score {
-	compute := float64(Compute(uncached, prefillRate)) * computeWeight
+	compute := float64(ComputeTime(uncached, prefillRate)) * computeWeight
 	return Score((float64(wait)+compute)*slowness) + Score(roundTrip)
 }
 
-// Compute returns the time that it takes to compute tokens at a prefill rate.
-func Compute(tokens uint64, prefillRate float64) time.Duration {
+// ComputeTime returns the time that it takes to compute tokens at a prefill rate.
+func ComputeTime(tokens uint64, prefillRate float64) time.Duration {
 	if prefillRate <= 0 {
 		prefillRate = defaultPrefillRate
 	}
--- a/internal/placement/mtspeed/speed.go
+++ b/internal/placement/mtspeed/speed.go
@@ -25,7 +25,7 @@
 const (
 	Start Term = iota
 	Read
-	Begin
+	FetchSetup
 	Fetch
 	numTerms
 )
@@ -34,19 +34,19 @@
 // in a millisecond, and one token takes 2 us to transfer. In current fleets they are off by up to
 // a factor of five, which thirty answers correct.
 var initialTimes = [numTerms]float64{
-	Start: float64(70 * time.Millisecond),
-	Read:  float64(time.Second / 32_000),
-	Begin: float64(4 * time.Millisecond),
-	Fetch: float64(2 * time.Microsecond),
+	Start:      float64(70 * time.Millisecond),
+	Read:       float64(time.Second / 32_000),
+	FetchSetup: float64(4 * time.Millisecond),
+	Fetch:      float64(2 * time.Microsecond),
 }
 
 // bounds are the accepted times: two to three orders of magnitude to either side, far beyond
 // current engines.
 var bounds = [numTerms][2]float64{
-	Start: {float64(time.Millisecond), float64(5 * time.Second)},
-	Read:  {float64(200 * time.Nanosecond), float64(5 * time.Millisecond)},
-	Begin: {float64(100 * time.Microsecond), float64(time.Second)},
-	Fetch: {float64(10 * time.Nanosecond), float64(500 * time.Microsecond)},
+	Start:      {float64(time.Millisecond), float64(5 * time.Second)},
+	Read:       {float64(200 * time.Nanosecond), float64(5 * time.Millisecond)},
+	FetchSetup: {float64(100 * time.Microsecond), float64(time.Second)},
+	Fetch:      {float64(10 * time.Nanosecond), float64(500 * time.Microsecond)},
 }
 
 const (
@@ -90,7 +90,7 @@
 func NewWork(read, fetched int64) Work {
 	w := Work{Start: 1, Read: float64(read)}
 	if fetched > 0 {
-		w[Begin], w[Fetch] = 1, float64(fetched)
+		w[FetchSetup], w[Fetch] = 1, float64(fetched)
 	}
 	return w
 }
@@ -105,14 +105,14 @@
 	return s
 }
 
-// Of returns the time of one unit of a term.
-func (s *Speed) Of(term Term) time.Duration { return time.Duration(s.times[term]) }
+// Time returns the time of one unit of a term.
+func (s *Speed) Time(term Term) time.Duration { return time.Duration(s.times[term]) }
 
-// Known reports whether enough answers were observed to rely on the times.
-func (s *Speed) Known() bool { return s.count >= minAnswers }
+// Reliable reports whether enough answers were observed to rely on the times.
+func (s *Speed) Reliable() bool { return s.count >= minAnswers }
 
-// Tokens returns the time that an engine needs to read count tokens.
-func (s *Speed) Tokens(count float64) time.Duration { return time.Duration(count * s.times[Read]) }
+// ReadTime returns the time that an engine needs to read count tokens.
+func (s *Speed) ReadTime(count float64) time.Duration { return time.Duration(count * s.times[Read]) }
 
 // Estimate returns the expected time to first token.
 func (s *Speed) Estimate(w Work) time.Duration {
@@ -123,11 +123,11 @@
 	return time.Duration(sum)
 }
 
-// Learn records the time to first token of a request. Each term is corrected by the
+// ObserveFirstToken records the time to first token of a request. Each term is corrected by the
 // ratio of the observed time to the estimate, in proportion to its share of the estimate: every
 // request contributes to the common terms, and a term that a request hardly uses barely changes.
 // The estimate converges to the median.
-func (s *Speed) Learn(w Work, took time.Duration) {
+func (s *Speed) ObserveFirstToken(w Work, took time.Duration) {
 	estimate := float64(s.Estimate(w))
 	if estimate <= 0 || took <= 0 {
 		return
@@ -153,8 +153,8 @@
 	return min(bounds[term][1], max(bounds[term][0], value))
 }
 
-// Answered records the length of an answer, counted from its first byte.
-func (s *Speed) Answered(lasted time.Duration) {
+// ObserveAnswer records the length of an answer, counted from its first byte.
+func (s *Speed) ObserveAnswer(lasted time.Duration) {
 	seconds := max(0, min(lasted, maxAnswer)).Seconds()
 	if s.meanLength == 0 {
 		s.meanLength, s.meanSquare = seconds, seconds*seconds
@@ -164,49 +164,49 @@
 	s.meanSquare += answerStep * (seconds*seconds - s.meanSquare)
 }
 
-// Answer returns the mean length of an answer.
-func (s *Speed) Answer() time.Duration {
+// MeanAnswer returns the mean length of an answer.
+func (s *Speed) MeanAnswer() time.Duration {
 	if s.meanLength <= 0 {
 		return defaultAnswer
 	}
 	return time.Duration(s.meanLength * float64(time.Second))
 }
 
-// Running returns the mean total length of the answers in progress at a random moment. It is
+// MeanRunning returns the mean total length of the answers in progress at a random moment. It is
 // above the mean of all answers, since long answers are more likely to be in progress.
-func (s *Speed) Running() time.Duration {
+func (s *Speed) MeanRunning() time.Duration {
 	if s.meanLength <= 0 {
 		return defaultAnswer
 	}
 	return time.Duration(s.meanSquare / s.meanLength * float64(time.Second))
 }
 
-// Tell returns the times to share with other processes, or nil while they are not reliable.
-func (s *Speed) Tell() *fleetv1.Speed {
-	if !s.Known() {
+// Snapshot returns the times to share with other processes, or nil while they are not reliable.
+func (s *Speed) Snapshot() *fleetv1.Speed {
+	if !s.Reliable() {
 		return nil
 	}
 	return &fleetv1.Speed{
-		Start:   durationpb.New(s.Of(Start)),
-		Read:    durationpb.New(s.Of(Read)),
-		Begin:   durationpb.New(s.Of(Begin)),
-		Fetch:   durationpb.New(s.Of(Fetch)),
-		Answer:  durationpb.New(s.Answer()),
-		Running: durationpb.New(s.Running()),
+		Start:   durationpb.New(s.Time(Start)),
+		Read:    durationpb.New(s.Time(Read)),
+		Begin:   durationpb.New(s.Time(FetchSetup)),
+		Fetch:   durationpb.New(s.Time(Fetch)),
+		Answer:  durationpb.New(s.MeanAnswer()),
+		Running: durationpb.New(s.MeanRunning()),
 	}
 }
 
 // Adopt takes over the times learned by another process if this one has not observed enough
 // answers itself. It reports whether it did; times out of bounds are rejected.
 func (s *Speed) Adopt(snapshot *fleetv1.Speed) bool {
-	if s.Known() || snapshot == nil {
+	if s.Reliable() || snapshot == nil {
 		return false
 	}
 	times := [numTerms]float64{
-		Start: float64(snapshot.GetStart().AsDuration()),
-		Read:  float64(snapshot.GetRead().AsDuration()),
-		Begin: float64(snapshot.GetBegin().AsDuration()),
-		Fetch: float64(snapshot.GetFetch().AsDuration()),
+		Start:      float64(snapshot.GetStart().AsDuration()),
+		Read:       float64(snapshot.GetRead().AsDuration()),
+		FetchSetup: float64(snapshot.GetBegin().AsDuration()),
+		Fetch:      float64(snapshot.GetFetch().AsDuration()),
 	}
 	for term, value := range times {
 		if clamp(Term(term), value) != value {
--- a/internal/placement/mtspeed/speed_test.go
+++ b/internal/placement/mtspeed/speed_test.go
@@ -37,7 +37,7 @@
 		if slowEvery > 0 && i%slowEvery == 0 {
 			took *= slowdown
 		}
-		s.Learn(mtspeed.NewWork(read, 0), time.Duration(took))
+		s.ObserveFirstToken(mtspeed.NewWork(read, 0), time.Duration(took))
 	}
 }
 
@@ -60,7 +60,7 @@
 		s := mtspeed.New(0)
 		random := rand.New(rand.NewPCG(1, 2))
 		observe(s, e, random, 40, 0, 0)
-		g.Expect(s.Known()).To(BeTrue())
+		g.Expect(s.Reliable()).To(BeTrue())
 		g.Expect(relativeEstimate(s, e, 6000)).To(BeNumerically("~", 1, 0.35), fmt.Sprint(e))
 		observe(s, e, random, 600, 0, 0)
 		for _, read := range []int64{400, 2500, 9000} {
@@ -97,10 +97,10 @@
 	g := NewWithT(t)
 	e := engine{10 * time.Millisecond, 157}
 	source, restarted := mtspeed.New(0), mtspeed.New(0)
-	g.Expect(restarted.Tell()).To(BeNil())
+	g.Expect(restarted.Snapshot()).To(BeNil())
 	observe(source, e, rand.New(rand.NewPCG(7, 8)), 300, 0, 0)
-	source.Answered(200 * time.Millisecond)
-	snapshot := source.Tell()
+	source.ObserveAnswer(200 * time.Millisecond)
+	snapshot := source.Snapshot()
 	for _, corrupt := range []func(*fleetv1.Speed){
 		func(s *fleetv1.Speed) { s.Read = durationpb.New(0) },
 		func(s *fleetv1.Speed) { s.Read = durationpb.New(-time.Second) },
@@ -108,15 +108,15 @@
 		func(s *fleetv1.Speed) { s.Fetch = nil },
 		func(s *fleetv1.Speed) { s.Running = durationpb.New(24 * time.Hour) },
 	} {
-		invalid := source.Tell()
+		invalid := source.Snapshot()
 		corrupt(invalid)
 		g.Expect(restarted.Adopt(invalid)).To(BeFalse())
 	}
 	g.Expect(restarted.Adopt(nil)).To(BeFalse())
 	g.Expect(restarted.Adopt(snapshot)).To(BeTrue())
-	g.Expect(restarted.Known()).To(BeTrue())
+	g.Expect(restarted.Reliable()).To(BeTrue())
 	g.Expect(relativeEstimate(restarted, e, 6000)).To(BeNumerically("~", relativeEstimate(source, e, 6000), 0.01))
-	g.Expect(restarted.Answer()).To(BeNumerically("~", 200*time.Millisecond, time.Millisecond))
+	g.Expect(restarted.MeanAnswer()).To(BeNumerically("~", 200*time.Millisecond, time.Millisecond))
 	g.Expect(restarted.Adopt(snapshot)).To(BeFalse())
 }
 
@@ -125,16 +125,16 @@
 func TestRunningIsWeightedTowardsLongAnswers(t *testing.T) {
 	g := NewWithT(t)
 	s := mtspeed.New(0)
-	g.Expect(s.Running()).To(Equal(400 * time.Millisecond))
+	g.Expect(s.MeanRunning()).To(Equal(400 * time.Millisecond))
 	for i := range 1000 {
 		lasted := 30 * time.Millisecond
 		if i%10 == 0 {
 			lasted = time.Second
 		}
-		s.Answered(lasted)
+		s.ObserveAnswer(lasted)
 	}
-	g.Expect(s.Answer()).To(BeNumerically("~", 127*time.Millisecond, 60*time.Millisecond))
-	g.Expect(s.Running()).To(BeNumerically(">", 600*time.Millisecond))
+	g.Expect(s.MeanAnswer()).To(BeNumerically("~", 127*time.Millisecond, 60*time.Millisecond))
+	g.Expect(s.MeanRunning()).To(BeNumerically(">", 600*time.Millisecond))
 }
 
 // The times stay positive whatever is observed, so that estimates remain usable.
@@ -144,16 +144,16 @@
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			read := rapid.Int64Range(0, 1<<40).Draw(t, "read")
 			fetched := rapid.Int64Range(-5, 1<<40).Draw(t, "fetched")
-			s.Learn(mtspeed.NewWork(read, fetched), time.Duration(rapid.Int64().Draw(t, "took")))
-			s.Answered(time.Duration(rapid.Int64().Draw(t, "lasted")))
+			s.ObserveFirstToken(mtspeed.NewWork(read, fetched), time.Duration(rapid.Int64().Draw(t, "took")))
+			s.ObserveAnswer(time.Duration(rapid.Int64().Draw(t, "lasted")))
 		}
 		for term := mtspeed.Start; term <= mtspeed.Fetch; term++ {
-			if s.Of(term) <= 0 {
-				t.Fatalf("time of term %d is not positive: %v", term, s.Of(term))
+			if s.Time(term) <= 0 {
+				t.Fatalf("time of term %d is not positive: %v", term, s.Time(term))
 			}
 		}
-		if s.Answer() < 0 || s.Running() < 0 {
-			t.Fatalf("mean answer length %v, mean length of answers in progress %v", s.Answer(), s.Running())
+		if s.MeanAnswer() < 0 || s.MeanRunning() < 0 {
+			t.Fatalf("mean answer length %v, mean length of answers in progress %v", s.MeanAnswer(), s.MeanRunning())
 		}
 	})
 }
@@ -162,7 +162,7 @@
 	s := mtspeed.New(0)
 	fmt.Println(s.Estimate(mtspeed.NewWork(3200, 0)).Round(time.Millisecond))
 	for range 200 {
-		s.Learn(mtspeed.NewWork(3200, 0), 60*time.Millisecond)
+		s.ObserveFirstToken(mtspeed.NewWork(3200, 0), 60*time.Millisecond)
 	}
 	fmt.Println(s.Estimate(mtspeed.NewWork(3200, 0)).Round(time.Millisecond))
 	// Output:
@@ -174,6 +174,6 @@
 	s := mtspeed.New(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Learn(mtspeed.NewWork(5000, 2000), 50*time.Millisecond)
+		s.ObserveFirstToken(mtspeed.NewWork(5000, 2000), 50*time.Millisecond)
 	}
 }
--- a/internal/placement/mttarget/target.go
+++ b/internal/placement/mttarget/target.go
@@ -50,11 +50,13 @@
 // ID returns the number that this entry has given to the target.
 func (t *Target) ID() uint32 { return t.id }
 
-// Distance returns the round-trip time to the target.
-func (t *Target) Distance() time.Duration { return t.distance }
+// RoundTrip returns the round-trip time to the target.
+func (t *Target) RoundTrip() time.Duration { return t.distance }
 
-// Mute records that the target did not answer an offer, and suspends offers to it.
-func (t *Target) Mute() { t.backoffUntil.Store(time.Now().Add(unresponsiveBackoff).UnixNano()) }
+// MarkUnresponsive records that the target did not answer an offer, and suspends offers to it.
+func (t *Target) MarkUnresponsive() {
+	t.backoffUntil.Store(time.Now().Add(unresponsiveBackoff).UnixNano())
+}
 
 // Usable reports whether the target may be offered work: it has not announced
 // that it is leaving, and no offer to it went unanswered recently.
@@ -62,12 +64,12 @@
 	return !t.leaving.Load() && time.Now().UnixNano() >= t.backoffUntil.Load()
 }
 
-// Prefill returns the target's prefill rate in tokens per second; 0 if unknown.
-func (t *Target) Prefill() float64 { return math.Float64frombits(t.prefillRate.Load()) }
+// PrefillRate returns the target's prefill rate in tokens per second; 0 if unknown.
+func (t *Target) PrefillRate() float64 { return math.Float64frombits(t.prefillRate.Load()) }
 
-// Say applies a report of the target: its expected wait, its prefill rate in
+// Update applies a report of the target: its expected wait, its prefill rate in
 // tokens per second (0 if not measured) and whether it is leaving.
-func (t *Target) Say(wait time.Duration, prefillRate float64, leaving bool) {
+func (t *Target) Update(wait time.Duration, prefillRate float64, leaving bool) {
 	t.reportedWait.Store(int64(wait))
 	t.sentCost.Store(0)
 	t.reportedAt.Store(time.Now().UnixNano())
@@ -77,9 +79,9 @@
 	}
 }
 
-// Send adds the computing time of a request sent to the target. Without it, a
+// AddSentCost adds the computing time of a request sent to the target. Without it, a
 // burst that arrives between two reports would go to a single target.
-func (t *Target) Send(cost time.Duration) { t.sentCost.Add(int64(cost)) }
+func (t *Target) AddSentCost(cost time.Duration) { t.sentCost.Add(int64(cost)) }
 
 // Wait returns the expected wait now: the reported wait plus the computing time
 // sent since, less the time elapsed since the report.
@@ -88,14 +90,14 @@
 	return time.Duration(max(0, t.reportedWait.Load()+t.sentCost.Load()-elapsed))
 }
 
-// Age returns the time since the target's last report.
-func (t *Target) Age() time.Duration {
+// ReportAge returns the time since the target's last report.
+func (t *Target) ReportAge() time.Duration {
 	return time.Duration(time.Now().UnixNano() - t.reportedAt.Load())
 }
 
-// Restarted records the target's incarnation and reports whether its process
+// RecordIncarnation records the target's incarnation and reports whether its process
 // has restarted since the last report.
-func (t *Target) Restarted(incarnation string) bool {
+func (t *Target) RecordIncarnation(incarnation string) bool {
 	previous := t.incarnation.Load()
 	if incarnation == "" || previous != nil && *previous == incarnation {
 		return false
--- a/internal/placement/mtwiden/widen.go
+++ b/internal/placement/mtwiden/widen.go
@@ -24,8 +24,8 @@
 // memory. Those that have not made a request wait recently are evicted first.
 const (
 	maxTracked = 4096
-	// Most is the maximum number of homes of a prefix.
-	Most = 16
+	// MaxHomes is the maximum number of homes of a prefix.
+	MaxHomes = 16
 	// minWidenInterval keeps short prefixes, which take almost no time to compute,
 	// from widening at each request of a burst.
 	minWidenInterval = 50 * time.Millisecond
@@ -46,20 +46,20 @@
 	lastWait time.Time
 }
 
-// Widen tracks the number of homes of each hot prefix. It is safe for concurrent
+// Tracker tracks the number of homes of each hot prefix. It is safe for concurrent
 // use.
-type Widen struct {
+type Tracker struct {
 	mu      sync.Mutex
 	tracked map[uint64]*hotPrefix
 }
 
 // New returns a state in which each prefix has one home.
-func New() *Widen { return &Widen{tracked: map[uint64]*hotPrefix{}} }
+func New() *Tracker { return &Tracker{tracked: map[uint64]*hotPrefix{}} }
 
 func key(mark [mtchain.MarkSize]byte) uint64 { return binary.LittleEndian.Uint64(mark[:8]) }
 
 // Width returns the number of homes of a prefix, which is at least 1.
-func (w *Widen) Width(mark [mtchain.MarkSize]byte) int {
+func (w *Tracker) Width(mark [mtchain.MarkSize]byte) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if p, ok := w.tracked[key(mark)]; ok {
@@ -68,9 +68,9 @@
 	return 1
 }
 
-// Waited records the shortest expected wait among a prefix's homes and the cost of
+// Observe records the shortest expected wait among a prefix's homes and the cost of
 // computing the prefix elsewhere, and returns the new number of homes.
-func (w *Widen) Waited(mark [mtchain.MarkSize]byte, wait, cost time.Duration) int {
+func (w *Tracker) Observe(mark [mtchain.MarkSize]byte, wait, cost time.Duration) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -85,7 +85,7 @@
 		p.lastWait = now
 	}
 	switch {
-	case wait > cost && p.width < Most && now.Sub(p.widthChanged) >= max(cost, minWidenInterval):
+	case wait > cost && p.width < MaxHomes && now.Sub(p.widthChanged) >= max(cost, minWidenInterval):
 		p.width++
 		p.widthChanged = now
 	case now.Sub(p.lastWait) >= narrowAfter && now.Sub(p.widthChanged) >= narrowAfter:
@@ -100,7 +100,7 @@
 
 // track starts to track a prefix, and evicts others if there is no room. The prefix
 // may get a second home at once.
-func (w *Widen) track(key uint64, now time.Time) *hotPrefix {
+func (w *Tracker) track(key uint64, now time.Time) *hotPrefix {
 	if len(w.tracked) >= maxTracked {
 		w.evict(now)
 	}
@@ -111,7 +111,7 @@
 
 // evict removes the prefixes that have not made a request wait recently, and then
 // arbitrary ones until there is room.
-func (w *Widen) evict(now time.Time) {
+func (w *Tracker) evict(now time.Time) {
 	for key, p := range w.tracked {
 		if now.Sub(p.lastWait) >= narrowAfter {
 			delete(w.tracked, key)
--- a/internal/placement/mtwiden/widen_test.go
+++ b/internal/placement/mtwiden/widen_test.go
@@ -21,22 +21,22 @@
 		mark := mtchain.Root("dossier")
 		const cost = time.Second
 		for range 100 {
-			w.Waited(mark, 3*cost, cost)
+			w.Observe(mark, 3*cost, cost)
 		}
 		g.Expect(w.Width(mark)).To(Equal(2), "the burst adds a single home")
 		for range 5 {
 			time.Sleep(cost)
-			w.Waited(mark, 3*cost, cost)
+			w.Observe(mark, 3*cost, cost)
 		}
 		g.Expect(w.Width(mark)).To(Equal(7))
 		for range 10 {
 			time.Sleep(time.Second)
-			w.Waited(mark, cost/2, cost)
+			w.Observe(mark, cost/2, cost)
 		}
 		g.Expect(w.Width(mark)).To(Equal(7), "waits between the two thresholds change nothing")
 		for range 200 {
 			time.Sleep(time.Second)
-			w.Waited(mark, 0, cost)
+			w.Observe(mark, 0, cost)
 		}
 		g.Expect(w.Width(mark)).To(Equal(1))
 	})
--- a/internal/relay/mtbeside/sidecar.go
+++ b/internal/relay/mtbeside/sidecar.go
@@ -162,7 +162,7 @@
 	defer s.mu.Unlock()
 	for _, change := range list {
 		if !change.Gone() {
-			s.name(mtnaming.Listed(change.Value()), "store")
+			s.name(mtnaming.FromListing(change.Value()), "store")
 		}
 	}
 }
--- a/internal/relay/mtbeside/tell.go
+++ b/internal/relay/mtbeside/tell.go
@@ -23,7 +23,7 @@
 			s.greeted(from, c.Hello)
 		}
 	case *fleetv1.Call_Notice:
-		s.directory.Take(c.Notice)
+		s.directory.Record(c.Notice)
 	case *fleetv1.Call_Origins:
 		for _, origin := range c.Origins.GetOrigins() {
 			if !s.origins.Take(origin) {
@@ -34,7 +34,7 @@
 		found := &fleetv1.Found{Ask: c.Lookup.GetAsk(), Origin: s.origins.Find(c.Lookup.GetStream())}
 		s.words.Send(from, &fleetv1.Word{Word: &fleetv1.Word_Found{Found: found}})
 	case *fleetv1.Call_Seek:
-		s.words.Send(from, &fleetv1.Word{Word: &fleetv1.Word_Sought{Sought: s.directory.Answer(c.Seek)}})
+		s.words.Send(from, &fleetv1.Word{Word: &fleetv1.Word_Sought{Sought: s.directory.Lookup(c.Seek)}})
 	}
 }
 
--- a/internal/relay/mtfront/digest.go
+++ b/internal/relay/mtfront/digest.go
@@ -85,7 +85,7 @@
 	}
 	digest.Bans = f.banned()
 	if f.limited() > 0 || f.limits.Count() > 0 {
-		digest.Entries = uint32(max(f.quota.ObservedSize(), f.limiter.Observed()))
+		digest.Entries = uint32(max(f.quota.ObservedSize(), f.limiter.ObservedSize()))
 	}
 	digest.Limits = f.limits.Recent(maxLimits)
 	digest.Custody, digest.Away = f.standbys.version(), f.away.Load() > 0
--- a/internal/relay/mtfront/greet.go
+++ b/internal/relay/mtfront/greet.go
@@ -198,11 +198,11 @@
 	case *fleetv1.Word_State:
 		f.hearState(from, w.State)
 	case *fleetv1.Word_Notice:
-		f.directory.Take(w.Notice)
+		f.directory.Record(w.Notice)
 	case *fleetv1.Word_Digest:
 		f.hearDigest(from, w.Digest)
 	case *fleetv1.Word_Seek:
-		f.words.Send(from, &fleetv1.Word{Word: &fleetv1.Word_Sought{Sought: f.directory.Answer(w.Seek)}})
+		f.words.Send(from, &fleetv1.Word{Word: &fleetv1.Word_Sought{Sought: f.directory.Lookup(w.Seek)}})
 	case *fleetv1.Word_Sought:
 		f.sought(from, w.Sought)
 	case *fleetv1.Word_Origins:
--- a/internal/relay/mtfront/know.go
+++ b/internal/relay/mtfront/know.go
@@ -219,7 +219,7 @@
 		case s.watched:
 			s.front.named(change.Value(), "store")
 		default:
-			s.front.named(mtnaming.Listed(change.Value()), "store")
+			s.front.named(mtnaming.FromListing(change.Value()), "store")
 		}
 	}
 	s.watched = true
--- a/internal/relay/mtfront/limit.go
+++ b/internal/relay/mtfront/limit.go
@@ -32,7 +32,7 @@
 			return ctx.Err()
 		case <-ticks.C:
 		}
-		if !f.limiter.Due() {
+		if !f.limiter.TickDue() {
 			continue
 		}
 		for _, message := range f.limiter.Tick(f.allocators(), f.peers.list(), f.entries()) {
@@ -110,7 +110,7 @@
 // observeLimit takes in the limit that an answer names, and tells others of what is new.
 func (r *request) observeLimit(choice *mtboard.Choice, answer *fleetv1.Answer, sent time.Time) {
 	target, born := choice.Responder(answer)
-	if !r.front.limits.Hear(target, born, answer, sent) {
+	if !r.front.limits.RecordAnswer(target, born, answer, sent) {
 		return
 	}
 	r.front.logLimit(target, append(r.fields(), zap.String("from", "its answer"))...)
--- a/internal/relay/mtfront/namings.go
+++ b/internal/relay/mtfront/namings.go
@@ -37,7 +37,7 @@
 		if !f.first() {
 			continue
 		}
-		if named := f.board.NewestWeights(); ledger.Due(named) {
+		if named := f.board.NewestWeights(); ledger.WriteDue(named) {
 			read = f.writeNamings(ctx, ledger, &fleetv1.Namings{Weights: named})
 		}
 	}
@@ -56,7 +56,7 @@
 		f.trail.Warn(mtkind.StoreLost, zap.String("kind", "namings"), zap.Error(err))
 		return false
 	}
-	ledger.Stored(namings, revision)
+	ledger.RecordStored(namings, revision)
 	for _, weights := range namings.GetWeights() {
 		for _, age := range weights.GetAges() {
 			// The time since the write is unknown.
@@ -76,6 +76,6 @@
 		}
 		return false
 	}
-	ledger.Stored(namings, revision)
+	ledger.RecordStored(namings, revision)
 	return true
 }
--- a/internal/relay/mtfront/size.go
+++ b/internal/relay/mtfront/size.go
@@ -39,7 +39,7 @@
 			reads++
 			stored, read = f.readSize(ctx)
 		}
-		if size := max(f.quota.ObservedSize(), f.limiter.Observed()); size != seen {
+		if size := max(f.quota.ObservedSize(), f.limiter.ObservedSize()); size != seen {
 			seen, since = size, time.Now()
 		}
 		charge, allocates := f.allocating()
--- a/internal/relay/mtrollout/plan.go
+++ b/internal/relay/mtrollout/plan.go
@@ -113,7 +113,7 @@
 
 // last is until when the load of an engine with a version may be put off.
 func (p *Plan) last(model string, version int64) time.Time {
-	return time.Now().Add(time.Duration(patience*float64(p.allowed)) - p.namings[model].Behind(version))
+	return time.Now().Add(time.Duration(patience*float64(p.allowed)) - p.namings[model].OutdatedFor(version))
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/relay/mtrollout/plan_test.go
+++ b/internal/relay/mtrollout/plan_test.go
@@ -358,7 +358,7 @@
 		far.Live = false
 		plan.Turn(far)
 		weights := named(2)
-		plan.Name(mtnaming.Listed(weights))
+		plan.Name(mtnaming.FromListing(weights))
 		weights.Ages = []*fleetv1.Age{{Version: 2, Age: durationpb.New(6 * time.Second), Certain: true}}
 		plan.Turn(far)
 		plan.Name(weights)
--- a/internal/role/mtentry/choose.go
+++ b/internal/role/mtentry/choose.go
@@ -31,7 +31,7 @@
 
 // placement is a service's placement and the members it was built from.
 type placement struct {
-	place   *mtplace.Place
+	place   *mtplace.Placer
 	mu      sync.Mutex
 	members atomic.Pointer[[]*mustardtidev1.Member]
 }
@@ -41,7 +41,7 @@
 }
 
 // of returns a service's placement over its usable members.
-func (p *places) of(service string, usable []*mustardtidev1.Member) *mtplace.Place {
+func (p *places) of(service string, usable []*mustardtidev1.Member) *mtplace.Placer {
 	found, ok := p.byService.Load(service)
 	if !ok {
 		found, _ = p.byService.LoadOrStore(service, &placement{place: mtplace.New(p.datacentre, p.seed)})
@@ -67,7 +67,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.current(usable) {
-		p.place.Members(usable)
+		p.place.SetMembers(usable)
 		p.members.Store(&usable)
 	}
 }
@@ -78,11 +78,11 @@
 	place := e.places.of(t.service.GetName(), usable)
 	span := int(t.service.GetGranule() * t.service.GetStride())
 	choice := place.Choose(mtchain.From(t.work.GetChain(), span), t.work.GetPrompt())
-	if choice.Len() > 1 && !choice.Fresh() && t.service.GetKind() != "plain" {
+	if choice.Len() > 1 && !choice.SkipOffers() && t.service.GetKind() != "plain" {
 		e.offer(ctx, t, place, choice)
 	}
 	if choice.Len() > 0 {
-		place.Sent(choice, choice.Target(0).Name())
+		place.RecordSent(choice, choice.Target(0).Name())
 	}
 	t.choice = choice
 	return e.members(choice, usable)
@@ -119,7 +119,7 @@
 }
 
 // offer asks all candidates side by side and ranks them by their answers.
-func (e *Entry) offer(ctx context.Context, t *task, place *mtplace.Place, choice *mtchoice.Choice) {
+func (e *Entry) offer(ctx context.Context, t *task, place *mtplace.Placer, choice *mtchoice.Choice) {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	answers := make(chan offered, choice.Len())
@@ -127,7 +127,7 @@
 	for i := range choice.Len() {
 		member := e.list.Find(choice.Target(i).Name())
 		if member == nil {
-			choice.Refuse(i)
+			choice.MarkRefused(i)
 			continue
 		}
 		asked++
@@ -154,16 +154,16 @@
 }
 
 // hearOffer takes one answer into the choice.
-func (e *Entry) hearOffer(place *mtplace.Place, choice *mtchoice.Choice, answer offered) {
+func (e *Entry) hearOffer(place *mtplace.Placer, choice *mtchoice.Choice, answer offered) {
 	if answer.err != nil {
-		choice.Refuse(answer.number)
-		choice.Target(answer.number).Mute()
+		choice.MarkRefused(answer.number)
+		choice.Target(answer.number).MarkUnresponsive()
 		return
 	}
 	state := answer.reply.GetState()
-	place.Heard(state)
-	choice.Offered(answer.number, answer.reply.GetMatched(), state.GetWait().AsDuration())
+	place.UpdateState(state)
+	choice.ApplyOffer(answer.number, answer.reply.GetMatched(), state.GetWait().AsDuration())
 	if mtrefusal.From(answer.reply.GetRefusal()) != nil {
-		choice.Refuse(answer.number)
+		choice.MarkRefused(answer.number)
 	}
 }
--- a/internal/role/mtentry/feedback.go
+++ b/internal/role/mtentry/feedback.go
@@ -24,20 +24,20 @@
 	name := a.member.GetName()
 	switch step := frame.GetStep().(type) {
 	case *mustardtidev1.Frame_Begin:
-		place.Heard(step.Begin.GetState())
+		place.UpdateState(step.Begin.GetState())
 		if choice.Target(0).Name() != name {
-			place.Sent(choice, name)
+			place.RecordSent(choice, name)
 		}
-		matched := min(choice.Prompt(), step.Begin.GetMatched())
-		a.seen = feedback{begun: time.Now(), uncached: choice.Prompt() - matched}
+		matched := min(choice.PromptTokens(), step.Begin.GetMatched())
+		a.seen = feedback{begun: time.Now(), uncached: choice.PromptTokens() - matched}
 	case *mustardtidev1.Frame_Data:
 		if !a.seen.told && !a.seen.begun.IsZero() {
 			a.seen.told = true
-			place.First(choice, name, time.Since(a.seen.begun), a.seen.uncached)
+			place.RecordFirstToken(choice, name, time.Since(a.seen.begun), a.seen.uncached)
 		}
 	case *mustardtidev1.Frame_Beat:
-		place.Heard(step.Beat.GetState())
+		place.UpdateState(step.Beat.GetState())
 	case *mustardtidev1.Frame_Finish:
-		place.Heard(step.Finish.GetState())
+		place.UpdateState(step.Finish.GetState())
 	}
 }
--- a/internal/role/mtsidecar/admit.go
+++ b/internal/role/mtsidecar/admit.go
@@ -121,7 +121,7 @@
 func (a *admit) first(work *mustardtidev1.Work) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.queue.First(work.GetRun(), work.GetAttempt())
+	a.queue.FirstOutput(work.GetRun(), work.GetAttempt())
 	a.step()
 }
 
@@ -140,7 +140,7 @@
 	for work := a.queue.Next(); work != nil; work = a.queue.Next() {
 		a.tell(work, nil)
 	}
-	wake := a.queue.Wake()
+	wake := a.queue.WakeTime()
 	if wake.IsZero() {
 		return
 	}
@@ -170,7 +170,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.configure(snapshot, work.GetService())
-	return a.queue.Hold(work, matched)
+	return a.queue.Reserve(work, matched)
 }
 
 // describe fills in what the queue knows of the target.
@@ -179,7 +179,7 @@
 	defer a.mu.Unlock()
 	state.Running = uint32(a.queue.Running())
 	state.Queued = uint32(a.queue.Queued())
-	state.Backlog = a.queue.Backlog()
-	state.Prefill = a.queue.Prefill()
-	return a.queue.Wait(&mustardtidev1.Work{Class: mustardtidev1.Class_SHORT}, 0)
+	state.Backlog = a.queue.BacklogCost()
+	state.Prefill = a.queue.PrefillRate()
+	return a.queue.PredictWait(&mustardtidev1.Work{Class: mustardtidev1.Class_SHORT}, 0)
 }
