--- a/internal/relay/mtturns/rollout_test.go
+++ b/internal/relay/mtturns/rollout_test.go
@@ -16,146 +16,147 @@
 )
 
 const (
-	// step is how often a sidecar looks, greeting how often an entry greets.
-	step     = 20 * time.Millisecond
-	greeting = 12
-	// tail is how long the model goes on after the last weights were named.
-	tail = 14 * time.Second
+	// tickInterval is how often a sidecar acts, heartbeatTicks the number of ticks between the
+	// heartbeats of an entry.
+	tickInterval   = 20 * time.Millisecond
+	heartbeatTicks = 12
+	// settleTime is how long the simulation continues after the last announcement of weights.
+	settleTime = 14 * time.Second
 )
 
-// model is a fleet: engines with the real plans of their sidecars, and entries
-// that see them late and lose some datagrams.
-type model struct {
-	engines []*engine
-	entries []*entry
-	load    time.Duration
-	knee    float64
-	loss    float64
-	random  *rand.Rand
-	version int64
-	named   time.Time
-	most    int
-	failure string
+// fleet simulates engines with the real plans of their sidecars, and entries that see their
+// state late and lose some datagrams.
+type fleet struct {
+	engines        []*engine
+	entries        []*entry
+	load           time.Duration
+	saturation     float64
+	loss           float64
+	random         *rand.Rand
+	version        int64
+	announcedAt    time.Time
+	maxUnavailable int
+	failure        string
 }
 
 type engine struct {
-	plan    *mtrollout.Plan
-	version int64
-	target  int64
-	orders  int64
-	left    time.Duration
-	busy    bool
-	down    time.Time
-	runs    time.Time
+	plan      *mtrollout.Plan
+	version   int64
+	target    int64
+	orders    int64
+	remaining time.Duration
+	busy      bool
+	downUntil time.Time
+	runsEnd   time.Time
 }
 
 type entry struct {
-	version int64
-	named   time.Time
-	heard   map[int]view
-	knee    int
+	version     int64
+	announcedAt time.Time
+	states      map[int]observation
+	saturation  int
 }
 
-type view struct {
-	at      time.Time
-	answers bool
-	version int64
-	away    bool
-	load    *fleetv1.Load
+type observation struct {
+	at          time.Time
+	answers     bool
+	version     int64
+	unavailable bool
+	load        *fleetv1.Load
 }
 
-// report is what an engine says; its runs end some time after the last request.
+// report returns the engine's report; runs end some time after the last request.
 func (e *engine) report() *fleetv1.Report {
 	r := &fleetv1.Report{Models: []*fleetv1.Weights{{Model: "m", Version: e.version}}, Busy: e.busy, Orders: e.orders}
-	if time.Now().Before(e.runs) {
+	if time.Now().Before(e.runsEnd) {
 		r.Running = 1
 	}
 	return r
 }
 
-// scenario is what is drawn: a fleet, and what happens to it.
+// scenario holds the randomly drawn parameters of a simulated rollout.
 type scenario struct {
-	engines, entries, knee int
-	// share is the part of the longest load with which a rollout is through in half
-	// of the time allowed.
-	share   float64
-	loss    float64
-	seed    uint64
-	namings int
-	// gap and crash are counts of steps.
-	gap, crash int
-	crashed    int
+	engines, entries, saturation int
+	// loadShare scales the load time: 1 is the longest, of at most two seconds, with which a
+	// rollout can finish in half of the time allowed.
+	loadShare     float64
+	loss          float64
+	seed          uint64
+	announcements int
+	// announceTicks and crashTick are counted in ticks.
+	announceTicks, crashTick int
+	crashes                  int
 }
 
 func draw(t *rapid.T) scenario {
 	s := scenario{
-		engines: rapid.IntRange(3, 24).Draw(t, "engines"),
-		entries: rapid.IntRange(1, 4).Draw(t, "entries"),
-		share:   rapid.Float64Range(0.2, 1).Draw(t, "share"),
-		loss:    rapid.Float64Range(0, 0.1).Draw(t, "loss"),
-		seed:    rapid.Uint64().Draw(t, "seed"),
-		namings: rapid.IntRange(1, 4).Draw(t, "namings"),
-		gap:     rapid.IntRange(50, 500).Draw(t, "gap"),
-		crashed: rapid.IntRange(0, 2).Draw(t, "crashed"),
+		engines:       rapid.IntRange(3, 24).Draw(t, "engines"),
+		entries:       rapid.IntRange(1, 4).Draw(t, "entries"),
+		loadShare:     rapid.Float64Range(0.2, 1).Draw(t, "share"),
+		loss:          rapid.Float64Range(0, 0.1).Draw(t, "loss"),
+		seed:          rapid.Uint64().Draw(t, "seed"),
+		announcements: rapid.IntRange(1, 4).Draw(t, "namings"),
+		announceTicks: rapid.IntRange(50, 500).Draw(t, "gap"),
+		crashes:       rapid.IntRange(0, 2).Draw(t, "crashed"),
 	}
-	s.knee = rapid.IntRange(1, max(1, s.engines/3)).Draw(t, "knee")
-	s.crash = rapid.IntRange(0, s.namings*s.gap).Draw(t, "crash")
+	s.saturation = rapid.IntRange(1, max(1, s.engines/3)).Draw(t, "knee")
+	s.crashTick = rapid.IntRange(0, s.announcements*s.announceTicks).Draw(t, "crash")
 	return s
 }
 
-func newModel(s scenario) *model {
-	longest := float64(allowed) * 0.5 * float64(s.knee) / float64(s.engines)
-	m := &model{
-		knee:   float64(s.knee),
-		load:   time.Duration(s.share * min(longest, float64(2*time.Second))),
-		loss:   s.loss,
-		random: rand.New(rand.NewPCG(s.seed, 0)),
+func newFleet(s scenario) *fleet {
+	longest := float64(allowed) * 0.5 * float64(s.saturation) / float64(s.engines)
+	f := &fleet{
+		saturation: float64(s.saturation),
+		load:       time.Duration(s.loadShare * min(longest, float64(2*time.Second))),
+		loss:       s.loss,
+		random:     rand.New(rand.NewPCG(s.seed, 0)),
 	}
 	for range s.engines {
-		m.engines = append(m.engines, &engine{plan: mtrollout.New(allowed), version: 1})
+		f.engines = append(f.engines, &engine{plan: mtrollout.New(allowed), version: 1})
 	}
 	for range s.entries {
-		m.entries = append(m.entries, &entry{version: 1, named: time.Now().Add(-time.Hour), heard: map[int]view{}})
+		f.entries = append(f.entries, &entry{version: 1, announcedAt: time.Now().Add(-time.Hour), states: map[int]observation{}})
 	}
-	return m
+	return f
 }
 
-func (m *model) lost() bool { return m.random.Float64() < m.loss }
+func (f *fleet) dropped() bool { return f.random.Float64() < f.loss }
 
-// tick lets a step of time pass.
-func (m *model) tick(count int) {
+// tick advances the simulation by one tickInterval.
+func (f *fleet) tick(count int) {
 	loading := 0
-	for _, e := range m.engines {
+	for _, e := range f.engines {
 		if e.busy {
 			loading++
 		}
 	}
-	pace := 1.0
+	speed := 1.0
 	if loading > 0 {
-		pace = min(1, m.knee/float64(loading))
+		speed = min(1, f.saturation/float64(loading))
 	}
-	for i, e := range m.engines {
-		m.advance(i, e, pace)
+	for i, e := range f.engines {
+		f.advance(i, e, speed)
 	}
-	for i, observer := range m.entries {
-		if observer.version < m.version {
-			observer.version, observer.named = m.version, time.Now()
+	for i, observer := range f.entries {
+		if observer.version < f.version {
+			observer.version, observer.announcedAt = f.version, time.Now()
 		}
-		if (count+i)%greeting == 0 {
-			m.greet(observer)
+		if (count+i)%heartbeatTicks == 0 {
+			f.heartbeat(observer)
 		}
 	}
-	time.Sleep(step)
+	time.Sleep(tickInterval)
 }
 
-// advance lets an engine load and its sidecar look.
-func (m *model) advance(i int, e *engine, pace float64) {
-	if time.Now().Before(e.down) {
+// advance progresses an engine's load and runs its sidecar once.
+func (f *fleet) advance(i int, e *engine, speed float64) {
+	if time.Now().Before(e.downUntil) {
 		return
 	}
 	if e.busy {
-		e.left -= time.Duration(pace * float64(step))
-		if e.left <= 0 {
+		e.remaining -= time.Duration(speed * float64(tickInterval))
+		if e.remaining <= 0 {
 			e.busy, e.version = false, e.target
 		}
 	}
@@ -163,181 +164,184 @@
 	before := e.plan.Ordering(report)
 	e.plan.See(report)
 	if !e.plan.Ordering(report) {
-		e.runs = time.Now().Add(100 * time.Millisecond)
+		e.runsEnd = time.Now().Add(100 * time.Millisecond)
 	}
 	if swap := e.plan.Next(report); swap != nil {
-		e.busy, e.target, e.left = true, swap.GetWeights().GetVersion(), m.load
+		e.busy, e.target, e.remaining = true, swap.GetWeights().GetVersion(), f.load
 		e.orders++
 		e.plan.Accepted()
 		e.plan.See(e.report())
 	}
 	if after := e.plan.Ordering(e.report()); after != before || e.busy {
-		for _, observer := range m.entries {
-			m.hear(observer, i, e)
+		for _, observer := range f.entries {
+			f.deliver(observer, i, e)
 		}
 	}
 }
 
-// hear is a sidecar's state on its way to an entry.
-func (m *model) hear(observer *entry, i int, e *engine) {
-	if m.lost() {
+// deliver sends an engine's state to an entry, unless the datagram is lost.
+func (f *fleet) deliver(observer *entry, i int, e *engine) {
+	if f.dropped() {
 		return
 	}
 	report := e.report()
-	observer.heard[i] = view{time.Now(), !time.Now().Before(e.down), e.version, e.plan.Ordering(report), e.plan.Load()}
+	observer.states[i] = observation{time.Now(), !time.Now().Before(e.downUntil), e.version, e.plan.Ordering(report), e.plan.Load()}
 }
 
-// greet lets an entry tell each sidecar its turn and hear its answer.
-func (m *model) greet(observer *entry) {
-	turns := mtturns.New(allowed, time.Since(observer.named), lead, observer.knee)
-	for i := range m.engines {
-		v, ok := observer.heard[i]
+// heartbeat sends each sidecar its turn from an entry, and delivers the replies.
+func (f *fleet) heartbeat(observer *entry) {
+	turns := mtturns.New(allowed, time.Since(observer.announcedAt), lead, observer.saturation)
+	for i := range f.engines {
+		v, ok := observer.states[i]
 		if !ok || time.Since(v.at) > 2500*time.Millisecond {
 			turns.Put(id(i), false, false, nil, 0)
 			continue
 		}
-		turns.Put(id(i), v.answers && v.version < observer.version, v.away, v.load, time.Since(v.at))
+		turns.Put(id(i), v.answers && v.version < observer.version, v.unavailable, v.load, time.Since(v.at))
 	}
-	turns.Arrange(byName)
-	observer.knee = turns.Knee()
-	for i, e := range m.engines {
-		if m.lost() {
+	turns.Arrange(hashByID)
+	observer.saturation = turns.Knee()
+	for i, e := range f.engines {
+		if f.dropped() {
 			continue
 		}
-		// The sidecar of an engine that is down lives, hears and answers.
+		// The sidecar of an engine that is down still runs, receives and replies.
 		e.plan.Turn(turns.Of(id(i)))
 		e.plan.Name(&fleetv1.Weights{Model: "m", Version: observer.version, Revision: observer.version})
-		m.hear(observer, i, e)
+		f.deliver(observer, i, e)
 	}
 }
 
-// name names new weights.
-func (m *model) name() {
-	m.version++
-	m.named = time.Now()
+// announce announces new weights.
+func (f *fleet) announce() {
+	f.version++
+	f.announcedAt = time.Now()
 }
 
-// check holds what must hold at every moment.
-func (m *model) check() {
-	away := 0
-	for i, e := range m.engines {
-		if time.Now().Before(e.down) {
+// check verifies the invariants that must hold at every moment.
+func (f *fleet) check() {
+	unavailable := 0
+	for i, e := range f.engines {
+		if time.Now().Before(e.downUntil) {
 			continue
 		}
 		if e.plan.Ordering(e.report()) {
-			away++
+			unavailable++
 		}
-		// An engine starves whose weights were replaced that long ago, however
-		// often others were named since.
-		if behind := m.version - e.version; behind > 0 && time.Since(m.named) > allowed {
-			m.failure = fmt.Sprintf("engine %d has weights %d versions old, %v after the last were named", i, behind, time.Since(m.named))
+		// An engine is starved if its weights were replaced longer ago than allowed, however
+		// often newer ones were announced since.
+		if behind := f.version - e.version; behind > 0 && time.Since(f.announcedAt) > allowed {
+			f.failure = fmt.Sprintf("engine %d has weights %d versions old, %v after the last announcement", i, behind, time.Since(f.announcedAt))
 		}
 	}
-	m.most = max(m.most, away)
+	f.maxUnavailable = max(f.maxUnavailable, unavailable)
 }
 
-// Weights are named several times, faster than a rollout ends, while datagrams are
-// lost, engines crash and entries see the fleet late. Every engine has the newest
-// weights in the time allowed, and most engines serve at any moment.
-func TestRolloutsOfAnyFleet(t *testing.T) {
+// Weights are announced several times, faster than a rollout ends, while datagrams are
+// lost, engines crash and entries see the fleet late. Every engine must get the newest
+// weights in the time allowed, and most engines must serve at any moment.
+func TestRolloutsOfRandomFleets(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		drawn := draw(rt)
+		s := draw(rt)
 		var failure string
-		synctest.Test(t, func(*testing.T) { failure = rollouts(drawn) })
+		synctest.Test(t, func(*testing.T) { failure = simulate(s) })
 		if failure != "" {
 			rt.Fatal(failure)
 		}
 	})
 }
 
-// Loads of a quarter of a second that slow each other from the second on, and three
-// namings a second apart: turns came later than was foreseen, were put off until a
-// fixed time after that, and then ten of 23 engines loaded at once.
-func TestTurnsThatComeLateStayApart(t *testing.T) {
-	s := scenario{engines: 23, entries: 2, knee: 1, share: 1, loss: 0.015625, namings: 3, gap: 50}
-	expectInOrder(t, s)
+// Guards against turns that come late and are then deferred until the same fixed time. With
+// loads of a quarter of a second that slow each other down from the second on, and three
+// announcements a second apart, ten of 23 engines loaded at once.
+func TestLateTurnsStaySpread(t *testing.T) {
+	s := scenario{engines: 23, entries: 2, saturation: 1, loadShare: 1, loss: 0.015625, announcements: 3, announceTicks: 50}
+	expectNoFailure(t, s)
 }
 
-// The first engine of the queue goes down as weights are named. The others waited
-// behind it until their time was nearly over, and then seven of twelve loaded at once.
-func TestEngineThatIsDownHoldsNobodyUp(t *testing.T) {
-	s := scenario{engines: 12, entries: 1, knee: 4, share: 1, loss: 0.1, namings: 2, gap: 50, crashed: 1, crash: 16}
-	expectInOrder(t, s)
+// Guards against a queue whose first engine goes down as weights are announced: the others
+// waited behind it until their time was nearly over, and then seven of twelve loaded at
+// once.
+func TestDownEngineDoesNotBlockQueue(t *testing.T) {
+	s := scenario{engines: 12, entries: 1, saturation: 4, loadShare: 1, loss: 0.1, announcements: 2, announceTicks: 50, crashes: 1, crashTick: 16}
+	expectNoFailure(t, s)
 }
 
-// Two engines crash in the middle of their loads, and their sidecars see these end when
-// they are back. The pace was taken to be that of engines that slow each other down, two
-// at once in place of five, until the time was nearly over and eight of fifteen went.
-func TestInterruptedLoadsSetNoPace(t *testing.T) {
-	s := scenario{engines: 15, entries: 2, knee: 5, share: 1, loss: 0.1, namings: 2, gap: 51, crashed: 2, crash: 82}
-	expectInOrder(t, s)
+// Guards against load times taken from interrupted loads. Two engines crash during their
+// loads, whose end their sidecars see when the engines are back. The loads seemed to slow
+// each other down, so two engines loaded at once instead of five until the time was nearly
+// over, and then eight of fifteen loaded together.
+func TestInterruptedLoadsAreNotSampled(t *testing.T) {
+	s := scenario{engines: 15, entries: 2, saturation: 5, loadShare: 1, loss: 0.1, announcements: 2, announceTicks: 51, crashes: 2, crashTick: 82}
+	expectNoFailure(t, s)
 }
 
-// Guards against engines that are held until their time is over, and then load together,
-// where the first loads take longer than the guess and some of them crash.
+// Guards against engines that are deferred until their time is over, and then load together,
+// where the first loads take longer than the default load time and some engines crash.
 func TestCrashesInLongFirstLoads(t *testing.T) {
-	s := scenario{engines: 23, entries: 1, knee: 7, share: 1, loss: 0.1, seed: 0x1cb, namings: 3, gap: 52, crashed: 2, crash: 17}
-	expectInOrder(t, s)
+	s := scenario{engines: 23, entries: 1, saturation: 7, loadShare: 1, loss: 0.1, seed: 0x1cb, announcements: 3, announceTicks: 52, crashes: 2, crashTick: 17}
+	expectNoFailure(t, s)
 }
 
-// Guards against a queue that makes up no time after two crashes at its start, until all
-// that wait load together.
-func TestQueueMakesUpForCrashes(t *testing.T) {
+// Guards against a queue that does not catch up after two crashes at its start, until all
+// waiting engines load together.
+func TestQueueCatchesUpAfterCrashes(t *testing.T) {
 	s := scenario{
-		engines: 24, entries: 1, knee: 7, share: 0.9756978341762346, loss: 0.07323755295367489,
-		seed: 863547489920211204, namings: 2, gap: 59, crashed: 2, crash: 73,
+		engines: 24, entries: 1, saturation: 7, loadShare: 0.9756978341762346, loss: 0.07323755295367489,
+		seed: 863547489920211204, announcements: 2, announceTicks: 59, crashes: 2, crashTick: 73,
 	}
-	expectInOrder(t, s)
+	expectNoFailure(t, s)
 }
 
-// expectInOrder plays one fleet in which nothing may go wrong.
-func expectInOrder(t *testing.T, s scenario) {
+// expectNoFailure simulates one fleet and fails the test on any violation.
+func expectNoFailure(t *testing.T, s scenario) {
 	synctest.Test(t, func(t *testing.T) {
-		if failure := rollouts(s); failure != "" {
+		if failure := simulate(s); failure != "" {
 			t.Fatal(failure)
 		}
 	})
 }
 
-// rollouts plays one fleet and returns what went wrong, or "".
-func rollouts(s scenario) string {
-	m := newModel(s)
+// simulate runs one fleet and returns the first violation found, or "".
+func simulate(s scenario) string {
+	f := newFleet(s)
 	for count := range 100 {
-		m.tick(count)
+		f.tick(count)
 	}
-	for count := range s.namings * s.gap {
-		if count%s.gap == 0 {
-			m.name()
+	for count := range s.announcements * s.announceTicks {
+		if count%s.announceTicks == 0 {
+			f.announce()
 		}
-		if count == s.crash {
-			m.crash(s.crashed)
+		if count == s.crashTick {
+			f.crash(s.crashes)
 		}
-		m.tick(count)
-		m.check()
+		f.tick(count)
+		f.check()
 	}
-	for count := range int(tail / step) {
-		m.tick(count)
-		m.check()
+	for count := range int(settleTime / tickInterval) {
+		f.tick(count)
+		f.check()
 	}
-	for i, e := range m.engines {
-		if e.version != m.version {
-			return fmt.Sprintf("engine %d ends with version %d of %d", i, e.version, m.version)
+	for i, e := range f.engines {
+		if e.version != f.version {
+			return fmt.Sprintf("engine %d ends with version %d of %d", i, e.version, f.version)
 		}
 	}
-	// A third of the fleet, what the time allowed needs, one whose runs end, and one
-	// for each two entries, which let an engine go before they hear of the other's.
-	needed := float64(len(m.engines)) * float64(m.load) / (0.75*float64(allowed) - float64(m.load+lead))
-	bound := max(len(m.engines)/3, int(math.Ceil(needed)), 1) + 1 + (len(m.entries)+1)/2
-	if m.most > bound {
-		return fmt.Sprintf("%d of %d engines were away at once, more than %d", m.most, len(m.engines), bound)
+	// A third of the fleet or the number that the time allowed requires, plus one whose
+	// runs end, and one for each two entries, which let an engine start before they learn
+	// of the other's.
+	needed := float64(len(f.engines)) * float64(f.load) / (0.75*float64(allowed) - float64(f.load+lead))
+	bound := max(len(f.engines)/3, int(math.Ceil(needed)), 1) + 1 + (len(f.entries)+1)/2
+	if f.maxUnavailable > bound {
+		return fmt.Sprintf("%d of %d engines were unavailable at once, more than %d", f.maxUnavailable, len(f.engines), bound)
 	}
-	return m.failure
+	return f.failure
 }
 
-// crash takes some engines down for two seconds; they come back with the weights
-// that they had.
-func (m *model) crash(count int) {
-	for _, e := range m.engines[:min(count, len(m.engines))] {
-		e.down, e.busy, e.orders = time.Now().Add(2*time.Second), false, 0
+// crash takes some engines down for two seconds; they come back with their previous
+// weights.
+func (f *fleet) crash(count int) {
+	for _, e := range f.engines[:min(count, len(f.engines))] {
+		e.downUntil, e.busy, e.orders = time.Now().Add(2*time.Second), false, 0
 	}
 }
--- a/internal/relay/mtturns/turns.go
+++ b/internal/relay/mtturns/turns.go
@@ -1,16 +1,16 @@
-// Package mtturns orders a fleet's engines for their loads of weights.
+// Package mtturns computes the order in which a fleet's engines load new weights.
 //
-// The load it answers is new weights for a whole fleet, now and then named again
-// before the last ones are in place. Engines that load refuse requests, and above
-// some number at once each load takes longer. Turns fixed in advance pile up
-// where loads take longer than foreseen: every engine then loads at the same
-// time, and callers are refused by a fleet that is idle. So the queue is one for
-// all weights, its first is the engine that loaded longest ago, and its pace
-// follows from the loads that were seen.
+// It is designed for new weights for a whole fleet, which may be announced again
+// before the previous ones are in place. Engines refuse requests while they load, and
+// above some number of simultaneous loads each load takes longer. Turns fixed in
+// advance pile up where loads take longer than expected: every engine then loads at
+// the same time, and an idle fleet refuses requests. There is therefore one queue for
+// all weights, ordered by the time since the engine last loaded, longest first, and
+// paced by the observed loads.
 //
-// Nobody owns the queue: each entry works it out from what the sidecars tell, and
-// tells each sidecar its engine's place. Entries that see the same loads come to
-// the same order.
+// Nobody owns the queue: each entry computes it from the state reported by the
+// sidecars, and sends each sidecar its engine's position. Entries that see the same
+// loads compute the same order.
 package mtturns
 
 import (
@@ -25,137 +25,140 @@
 )
 
 const (
-	// firstLoad stands for the time of a load until one was seen: between the half
-	// second of small weights and the two seconds of large ones. The queue moves
-	// on as soon as loads are seen to end.
-	firstLoad = time.Second
-	// groups is into how many parts a fleet is divided at first: with a sixth away,
-	// the others carry the load of a busy day.
-	groups = 6
-	// mostPart is the largest part of a fleet, one in so many, that may load at once
-	// while the time allowed can be kept without.
-	mostPart = 3
-	// allowedShare is the part of the time allowed for older weights in which the
-	// last engine should have loaded: the rest is for crashes, lost orders and
-	// entries that hear late.
-	allowedShare = 0.75
-	// slowed is how much longer than the shortest a load must take to show that
-	// engines slow each other down.
-	slowed = 1.15
-	// gap is how much less than the number at once is seen in the mean: engines
-	// begin a little late, and the first and the last of a rollout have fewer beside
-	// them.
-	gap = 0.25
-	// longestLead and leadShare, a part of the time allowed, bound how long engines
-	// wait for their runs: where answers last for many seconds, a queue that waits for
-	// them leaves no time for the loads, and all engines would have to load at once.
-	longestLead = 2 * time.Second
-	leadShare   = 1.0 / 6
-	// liveShare is the part of the engines that must be heard of for the queue to
-	// be seen to move, each within one part, movingPart, of the time allowed.
-	liveShare  = 0.75
-	movingPart = 2
-	// noted bounds the loads from which the pace is worked out: comparing each
-	// with each then takes some 10 us.
-	noted = 48
-	// shortestLoad and longestLoad bound the times that are believed.
-	shortestLoad = 20 * time.Millisecond
-	longestLoad  = time.Minute
+	// defaultLoadTime is assumed until a load has been observed: it lies between the half
+	// second of small weights and the two seconds of large ones. The queue advances as
+	// soon as loads are seen to end.
+	defaultLoadTime = time.Second
+	// initialGroups is the number of groups that a fleet is initially divided into: with a
+	// sixth unavailable, the others carry the load of a busy day.
+	initialGroups = 6
+	// maxUnavailableDivisor limits the engines that load at once to one in this many of the
+	// fleet, unless the time allowed requires more.
+	maxUnavailableDivisor = 3
+	// deadlineShare is the share of the time allowed for older weights within which the
+	// last engine should have loaded. The rest is a reserve for crashes, lost orders and
+	// entries with outdated state.
+	deadlineShare = 0.75
+	// slowdownRatio is the ratio of the typical to the shortest load time from which on
+	// simultaneous loads are taken to slow each other down.
+	slowdownRatio = 1.15
+	// concurrencyMargin corrects the measured mean concurrency, which is below the intended
+	// one: engines start slightly late, and the first and last loads of a rollout have
+	// fewer others beside them.
+	concurrencyMargin = 0.25
+	// maxLead and maxLeadShare, a share of the time allowed, limit how long engines wait
+	// for their runs to end. Where answers last for many seconds, waiting for them would
+	// leave no time for the loads, and all engines would have to load at once.
+	maxLead      = 2 * time.Second
+	maxLeadShare = 1.0 / 6
+	// minRecentShare is the share of the engines whose state must be recent for the queue
+	// to count as live. State is recent if it is no older than the time allowed divided by
+	// maxAgeDivisor.
+	minRecentShare = 0.75
+	maxAgeDivisor  = 2
+	// maxSamples limits the loads from which the pace is estimated: comparing each with
+	// each then takes some 10 us.
+	maxSamples = 48
+	// minLoadTime and maxLoadTime bound the reported load times that are accepted.
+	minLoadTime = 20 * time.Millisecond
+	maxLoadTime = time.Minute
 )
 
-// Turns is the queue of one service's engines as one entry sees it. It is not
+// Turns is the load queue of one service's engines as one entry sees it. It is not
 // safe for concurrent use.
 type Turns struct {
 	allowed time.Duration
 	lead    time.Duration
-	// overdue says that the time in which all engines should have loaded is over.
+	// overdue reports whether the deadline for all engines to have loaded has passed.
 	overdue bool
-	// knee is the number at once above which loads were seen to be slower; 0 where
-	// none was.
-	knee int
+	// saturation is the number of simultaneous loads above which loads were observed to
+	// slow down; 0 if none was.
+	saturation int
 
 	engines []engine
-	// loads are the last ones of the engines, leasts the shortest of each.
-	loads  []load
-	leasts []time.Duration
-	// underway are the ages of the loads that have not ended.
-	underway []time.Duration
-	places   map[string]int
-	// heard, away and behind count engines; last is how long ago one of them began.
-	heard  int
-	away   int
-	behind int
-	last   time.Duration
-	// atOnce is how many load at once, took what a load takes.
-	atOnce int
-	took   time.Duration
+	// loads holds the last load of each engine, minTimes the shortest load time of each.
+	loads    []load
+	minTimes []time.Duration
+	// inProgress holds the times since the start of the loads that have not ended.
+	inProgress []time.Duration
+	positions  map[string]int
+	// recent, unavailable and behind count engines; lastStart is the time since the most
+	// recent start of a load.
+	recent      int
+	unavailable int
+	behind      int
+	lastStart   time.Duration
+	// concurrency is the number of engines that load at once, loadTime the estimated
+	// duration of a load.
+	concurrency int
+	loadTime    time.Duration
 }
 
-// engine is one that has its turn before or after others.
+// engine is a queued engine.
 type engine struct {
-	id     string
-	behind bool
-	begun  time.Duration
+	id         string
+	behind     bool
+	startedAgo time.Duration
 }
 
-// load is one that was seen, in times before now.
+// load is an observed load; its times are relative to now.
 type load struct {
-	begun time.Duration
-	ended time.Duration
+	startedAgo time.Duration
+	endedAgo   time.Duration
 }
 
-func (l load) took() time.Duration { return l.begun - l.ended }
+func (l load) duration() time.Duration { return l.startedAgo - l.endedAgo }
 
-// never is how long ago an engine loaded that was not seen to.
+// never is the time since the last load of an engine without an observed load.
 const never = time.Duration(math.MaxInt64)
 
-// New returns an empty queue. Within allowed after weights are named every engine
-// must have them, named is how long ago that was, and lead is how long an engine's
+// New returns an empty queue. Every engine must have new weights within allowed of their
+// announcement, sinceAnnounced is the time since then, and lead is the time that an engine's
 // runs are given to end before its order.
 //
-// Knee is what Knee returned for the last queue of the same engines, 0 at first.
-func New(allowed, named, lead time.Duration, knee int) *Turns {
+// saturation is the value found by the previous queue of the same engines, initially 0.
+func New(allowed, sinceAnnounced, lead time.Duration, saturation int) *Turns {
 	return &Turns{
-		knee:    knee,
-		allowed: allowed,
-		lead:    min(lead, longestLead, time.Duration(leadShare*float64(allowed))),
-		overdue: allowed > 0 && named > time.Duration(allowedShare*float64(allowed)),
-		places:  map[string]int{},
-		last:    never,
+		saturation: saturation,
+		allowed:    allowed,
+		lead:       min(lead, maxLead, time.Duration(maxLeadShare*float64(allowed))),
+		overdue:    allowed > 0 && sinceAnnounced > time.Duration(deadlineShare*float64(allowed)),
+		positions:  map[string]int{},
+		lastStart:  never,
 	}
 }
 
-// Put adds an engine. behind says that it answers and that newer weights than its own
-// are named, away that it takes no requests for the sake of its load; last is nil
-// where nothing was heard of it of late, and age is how long ago it was told.
+// Put adds an engine. behind reports whether it is up and has older weights than the
+// newest announced ones, away whether it takes no requests because of its load. last is
+// nil if no recent state of the engine is known, and age is the age of that state.
 func (t *Turns) Put(id string, behind, away bool, last *fleetv1.Load, age time.Duration) {
-	e := engine{id: id, behind: behind && !away, begun: never}
+	e := engine{id: id, behind: behind && !away, startedAgo: never}
 	if away {
-		t.away++
+		t.unavailable++
 	}
 	if e.behind {
 		t.behind++
 	}
-	if last != nil && (t.allowed <= 0 || age <= t.allowed/movingPart) {
-		t.heard++
+	if last != nil && (t.allowed <= 0 || age <= t.allowed/maxAgeDivisor) {
+		t.recent++
 	}
 	if last.GetBegun() != nil {
-		e.begun = age + last.GetBegun().AsDuration()
-		t.last = min(t.last, e.begun)
+		e.startedAgo = age + last.GetBegun().AsDuration()
+		t.lastStart = min(t.lastStart, e.startedAgo)
 		if away && last.GetEnded() == nil {
-			t.underway = append(t.underway, e.begun)
+			t.inProgress = append(t.inProgress, e.startedAgo)
 		}
 	}
-	if took := last.GetTook().AsDuration(); took >= shortestLoad && took <= longestLoad {
+	if took := last.GetTook().AsDuration(); took >= minLoadTime && took <= maxLoadTime {
 		ended := age + last.GetEnded().AsDuration()
-		t.loads = append(t.loads, load{begun: ended + took, ended: ended})
-		t.leasts = append(t.leasts, min(took, max(shortestLoad, last.GetLeast().AsDuration())))
+		t.loads = append(t.loads, load{startedAgo: ended + took, endedAgo: ended})
+		t.minTimes = append(t.minTimes, min(took, max(minLoadTime, last.GetLeast().AsDuration())))
 	}
 	t.engines = append(t.engines, e)
 }
 
-// Arrange works out places and pace; hash decides among engines that were not seen
-// to load, alike at all entries.
+// Arrange computes positions and pace. hash breaks ties between engines with no observed
+// load, identically at all entries.
 func (t *Turns) Arrange(hash func(id string) uint64) {
 	slices.SortFunc(t.engines, func(a, b engine) int {
 		if a.behind != b.behind {
@@ -164,152 +167,155 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.begun, a.begun), cmp.Compare(hash(a.id), hash(b.id)))
+		return cmp.Or(cmp.Compare(b.startedAgo, a.startedAgo), cmp.Compare(hash(a.id), hash(b.id)))
 	})
 	for i, e := range t.engines {
-		t.places[e.id] = i
+		t.positions[e.id] = i
 	}
-	t.pace()
+	t.estimate()
 }
 
-// AtOnce is how many engines load at once.
-func (t *Turns) AtOnce() int { return t.atOnce }
+// AtOnce returns the number of engines that load at once.
+func (t *Turns) AtOnce() int { return t.concurrency }
 
-// Took is what a load takes.
-func (t *Turns) Took() time.Duration { return t.took }
+// Took returns the estimated duration of a load.
+func (t *Turns) Took() time.Duration { return t.loadTime }
 
-// interval is the time from one engine's turn to the next. It follows from the
-// loads; but where these are short beside the time that an engine waits for its
-// runs, most of those that are away wait, and these are bounded too.
+// interval returns the time from one engine's turn to the next, derived from the loads.
+// Where loads are short compared with the time that an engine waits for its runs, most
+// unavailable engines are waiting, so their number is limited too.
 func (t *Turns) interval() time.Duration {
-	whole := t.lead + t.took
-	calm := time.Duration(float64(whole) / float64(t.mostAway()))
-	inTime := (t.bound() - whole) / time.Duration(max(1, len(t.engines)))
-	return max(t.took/time.Duration(max(1, t.atOnce)), min(calm, inTime))
+	total := t.lead + t.loadTime
+	availabilityInterval := time.Duration(float64(total) / float64(t.maxUnavailable()))
+	deadlineInterval := (t.deadline() - total) / time.Duration(max(1, len(t.engines)))
+	return max(t.loadTime/time.Duration(max(1, t.concurrency)), min(availabilityInterval, deadlineInterval))
 }
 
-// bound is the time in which the last engine should have loaded.
-func (t *Turns) bound() time.Duration {
-	return time.Duration(allowedShare * float64(t.allowed))
+// deadline returns the time within which the last engine should have loaded.
+func (t *Turns) deadline() time.Duration {
+	return time.Duration(deadlineShare * float64(t.allowed))
 }
 
-// mostAway is how many engines may take no requests while there is time.
-func (t *Turns) mostAway() int { return max(1, len(t.engines)/mostPart) }
+// maxUnavailable returns how many engines may refuse requests while the deadline can
+// still be met.
+func (t *Turns) maxUnavailable() int { return max(1, len(t.engines)/maxUnavailableDivisor) }
 
 // Of returns an engine's turn.
 func (t *Turns) Of(id string) *fleetv1.Turn {
 	interval := t.interval()
 	turn := &fleetv1.Turn{
-		Place:    uint32(t.places[id]),
-		Queue:    uint32(t.waiting()),
+		Place:    uint32(t.positions[id]),
+		Queue:    uint32(t.queueLength()),
 		Interval: durationpb.New(interval),
 		Lead:     durationpb.New(t.lead),
 		Full:     t.full(),
-		Live:     float64(t.heard) >= liveShare*float64(len(t.engines)),
+		Live:     float64(t.recent) >= minRecentShare*float64(len(t.engines)),
 	}
-	if head := t.next(interval) - t.last; t.last != never && head > 0 {
+	if head := t.untilNext(interval) - t.lastStart; t.lastStart != never && head > 0 {
 		turn.Head = durationpb.New(head)
 	}
 	return turn
 }
 
-// waiting is how many engines have their turns before them: all, until newer weights are
-// named.
-func (t *Turns) waiting() int {
+// queueLength returns the number of engines that are still to load: all of them until
+// newer weights are announced.
+func (t *Turns) queueLength() int {
 	if t.behind == 0 {
 		return len(t.engines)
 	}
 	return t.behind
 }
 
-// next is the time from the last engine's turn to the one of the queue's first: shorter
-// than the interval while fewer are away than should load.
-func (t *Turns) next(interval time.Duration) time.Duration {
-	return interval * time.Duration(min(t.away, t.atOnce)) / time.Duration(max(1, t.atOnce))
+// untilNext returns the time from the most recent start to the turn of the first in the
+// queue: shorter than the interval while fewer engines are unavailable than should load.
+func (t *Turns) untilNext(interval time.Duration) time.Duration {
+	return interval * time.Duration(min(t.unavailable, t.concurrency)) / time.Duration(max(1, t.concurrency))
 }
 
-// full says that as many engines are away as should load, and one more whose runs
-// end meanwhile.
-func (t *Turns) full() bool { return !t.overdue && t.away > t.atOnce }
+// full reports whether more engines are unavailable than should load: one more is
+// accepted, as its runs end in the meantime.
+func (t *Turns) full() bool { return !t.overdue && t.unavailable > t.concurrency }
 
-// pace works out how many engines load at once, and how long that takes. Engines
-// share what brings their weights: up to some number at once a load takes the
-// same, above it the loads take longer and no more of them end in a second. That
-// number is where the shortest load meets the highest rate.
-func (t *Turns) pace() {
+// estimate computes how many engines load at once, and how long a load takes. Engines
+// share the bandwidth that delivers their weights: up to some number of simultaneous
+// loads the load time is constant, above it loads take longer and throughput no longer
+// grows. That number is where the shortest load time meets the highest throughput.
+func (t *Turns) estimate() {
 	size := len(t.engines)
-	t.took = firstLoad
-	t.atOnce = max(1, (size+groups-1)/groups)
+	t.loadTime = defaultLoadTime
+	t.concurrency = max(1, (size+initialGroups-1)/initialGroups)
 	if len(t.loads) > 0 {
-		t.learn()
+		t.estimateSaturation()
 	} else {
-		t.took = max(t.took, t.atLeast())
+		t.loadTime = max(t.loadTime, t.minInProgressTime())
 	}
-	t.atOnce = max(t.needed(), min(t.atOnce, t.mostAway()))
-	if t.knee > 0 {
-		// More at once would not be through any sooner.
-		t.atOnce = min(t.atOnce, t.knee)
+	t.concurrency = max(t.requiredConcurrency(), min(t.concurrency, t.maxUnavailable()))
+	if t.saturation > 0 {
+		// More simultaneous loads would not finish any sooner.
+		t.concurrency = min(t.concurrency, t.saturation)
 	}
 }
 
-// atLeast is what a load takes at the least by those under way. The oldest of them does
-// not count: one false report must not decide.
-func (t *Turns) atLeast() time.Duration {
-	if len(t.underway) < 2 {
+// minInProgressTime returns a lower bound of the load time from the loads in progress.
+// The oldest of them is ignored: a single false report must not decide.
+func (t *Turns) minInProgressTime() time.Duration {
+	if len(t.inProgress) < 2 {
 		return 0
 	}
-	slices.Sort(t.underway)
-	return min(t.underway[len(t.underway)-2]-t.lead, longestLoad)
+	slices.Sort(t.inProgress)
+	return min(t.inProgress[len(t.inProgress)-2]-t.lead, maxLoadTime)
 }
 
-// Knee is the number at once above which loads were seen to be slower; 0 where none
-// was.
-func (t *Turns) Knee() int { return t.knee }
+// Knee returns the number of simultaneous loads above which loads were observed to slow
+// down; 0 if none was.
+func (t *Turns) Knee() int { return t.saturation }
 
-// needed is how many must load at once for the last to be in time.
-func (t *Turns) needed() int {
-	left := t.bound() - t.took - t.lead
+// requiredConcurrency returns how many engines must load at once for the last to meet the
+// deadline.
+func (t *Turns) requiredConcurrency() int {
+	remaining := t.deadline() - t.loadTime - t.lead
 	if t.allowed <= 0 || len(t.engines) == 0 {
 		return 1
 	}
-	if left <= 0 {
+	if remaining <= 0 {
 		return len(t.engines)
 	}
-	return min(len(t.engines), int(math.Ceil(float64(len(t.engines))*float64(t.took)/float64(left))))
+	return min(len(t.engines), int(math.Ceil(float64(len(t.engines))*float64(t.loadTime)/float64(remaining))))
 }
 
-// learn reads the knee from the loads that were seen, where some were slowed.
-func (t *Turns) learn() {
-	slices.SortFunc(t.loads, func(a, b load) int { return cmp.Compare(a.ended, b.ended) })
-	loads := t.loads[:min(len(t.loads), noted)]
+// estimateSaturation estimates the load time from the observed loads, and the saturation
+// if some of them were slowed down.
+func (t *Turns) estimateSaturation() {
+	slices.SortFunc(t.loads, func(a, b load) int { return cmp.Compare(a.endedAgo, b.endedAgo) })
+	loads := t.loads[:min(len(t.loads), maxSamples)]
 	scale := float64(len(t.loads)) / float64(len(loads))
-	times := make([]time.Duration, len(loads))
-	rates := make([]float64, len(loads))
+	durations := make([]time.Duration, len(loads))
+	timesPerLoad := make([]float64, len(loads))
 	for i, l := range loads {
-		beside := 1 + scale*(besides(l, loads)-1)
-		times[i] = l.took()
-		rates[i] = float64(l.took()) / beside
+		atOnce := 1 + scale*(meanConcurrency(l, loads)-1)
+		durations[i] = l.duration()
+		timesPerLoad[i] = float64(l.duration()) / atOnce
 	}
-	slices.Sort(times)
-	slices.Sort(rates)
-	slices.Sort(t.leasts)
-	shortest, rate := low(t.leasts), low(rates)
-	t.took = times[len(times)/2]
-	if float64(t.took) >= slowed*float64(shortest) {
-		t.knee = max(1, int(math.Ceil(float64(shortest)/rate-gap)))
-		t.took = shortest
+	slices.Sort(durations)
+	slices.Sort(timesPerLoad)
+	slices.Sort(t.minTimes)
+	shortest, timePerLoad := lowPercentile(t.minTimes), lowPercentile(timesPerLoad)
+	t.loadTime = durations[len(durations)/2]
+	if float64(t.loadTime) >= slowdownRatio*float64(shortest) {
+		t.saturation = max(1, int(math.Ceil(float64(shortest)/timePerLoad-concurrencyMargin)))
+		t.loadTime = shortest
 	}
 }
 
-// low is a low value of a sorted list in place of the least: one false report must
-// not decide.
-func low[T any](sorted []T) T { return sorted[len(sorted)/5] }
+// lowPercentile returns the 20th percentile of a sorted list rather than the minimum: a
+// single false report must not decide.
+func lowPercentile[T any](sorted []T) T { return sorted[len(sorted)/5] }
 
-// besides is how many loads were under way during one, in the mean.
-func besides(l load, loads []load) float64 {
+// meanConcurrency returns the mean number of loads in progress during l, itself included.
+func meanConcurrency(l load, loads []load) float64 {
 	var sum time.Duration
 	for _, other := range loads {
-		sum += max(0, min(l.begun, other.begun)-max(l.ended, other.ended))
+		sum += max(0, min(l.startedAgo, other.startedAgo)-max(l.endedAgo, other.endedAgo))
 	}
-	return float64(sum) / float64(l.took())
+	return float64(sum) / float64(l.duration())
 }
--- a/internal/relay/mtturns/turns_test.go
+++ b/internal/relay/mtturns/turns_test.go
@@ -17,8 +17,8 @@
 	lead    = 400 * time.Millisecond
 )
 
-// loaded is what a sidecar tells of a load that began and ended some time ago.
-func loaded(begun, ended, took, least time.Duration) *fleetv1.Load {
+// loadReport returns a sidecar's report of a load with the given times before now.
+func loadReport(begun, ended, took, least time.Duration) *fleetv1.Load {
 	return &fleetv1.Load{
 		Begun: durationpb.New(begun), Ended: durationpb.New(ended),
 		Took: durationpb.New(took), Least: durationpb.New(least),
@@ -27,37 +27,39 @@
 
 func id(i int) string { return fmt.Sprintf("e%02d", i) }
 
-func byName(id string) uint64 { return uint64(id[1])<<8 | uint64(id[2]) }
+func hashByID(id string) uint64 { return uint64(id[1])<<8 | uint64(id[2]) }
 
-// rolled is a queue of engines that have loaded one after another, so many at once.
-func rolled(engines, atOnce int, took, least time.Duration) *mtturns.Turns {
+// queueAfterRollout returns the queue of engines that have loaded in order, atOnce of them
+// at a time.
+func queueAfterRollout(engines, atOnce int, took, least time.Duration) *mtturns.Turns {
 	t := mtturns.New(allowed, time.Minute, lead, 0)
 	for i := range engines {
 		ended := time.Duration(engines-i) * took / time.Duration(atOnce)
-		t.Put(id(i), true, false, loaded(ended+took+lead, ended, took, least), 0)
+		t.Put(id(i), true, false, loadReport(ended+took+lead, ended, took, least), 0)
 	}
-	t.Arrange(byName)
+	t.Arrange(hashByID)
 	return t
 }
 
-// Loads take twice as long as any was seen to where six load at once: they share
-// what brings their weights, and it is enough for three. Turns for six at once
-// would keep six engines from serving and end no sooner.
-func TestSlowedLoadsShowHowManyFit(t *testing.T) {
+// With six loads at once each takes twice the shortest observed time: the engines share
+// bandwidth that is enough for three. Six at once would keep six engines from serving and
+// finish no sooner.
+func TestSlowedLoadsLimitConcurrency(t *testing.T) {
 	g := NewWithT(t)
-	turns := rolled(18, 6, 2200*time.Millisecond, 1100*time.Millisecond)
+	turns := queueAfterRollout(18, 6, 2200*time.Millisecond, 1100*time.Millisecond)
 	g.Expect(turns.AtOnce()).To(Equal(3))
 	g.Expect(turns.Took()).To(Equal(1100 * time.Millisecond))
 	g.Expect(turns.Of(id(5)).GetInterval().AsDuration()).To(BeNumerically("~", 367*time.Millisecond, time.Millisecond))
 }
 
-// Loads that were not slowed say nothing against as many at once.
-func TestQuickLoadsKeepThePace(t *testing.T) {
-	NewWithT(t).Expect(rolled(18, 3, 550*time.Millisecond, 550*time.Millisecond).AtOnce()).To(Equal(3))
+// Loads that were not slowed down must not reduce the concurrency.
+func TestLoadsWithoutSlowdownKeepConcurrency(t *testing.T) {
+	NewWithT(t).Expect(queueAfterRollout(18, 3, 550*time.Millisecond, 550*time.Millisecond).AtOnce()).To(Equal(3))
 }
 
-// Guards against a queue that waits behind first loads longer than its guess.
-func TestLoadsUnderWaySetThePace(t *testing.T) {
+// Guards against a queue that waits behind first loads that take longer than the default load
+// time.
+func TestLoadsInProgressSetLoadTime(t *testing.T) {
 	g := NewWithT(t)
 	turns := mtturns.New(allowed, 2*time.Second, lead, 0)
 	for i := range 24 {
@@ -70,20 +72,20 @@
 			turns.Put(id(i), true, false, &fleetv1.Load{}, 0)
 		}
 	}
-	turns.Arrange(byName)
+	turns.Arrange(hashByID)
 	g.Expect(turns.Took()).To(Equal(1600 * time.Millisecond))
 	g.Expect(turns.AtOnce()).To(Equal(6))
 }
 
-// Guards against engines that are put off again and again by an entry that greets them so
-// seldom that it does not see the queue move.
-func TestOldWordsShowNoQueueThatMoves(t *testing.T) {
+// Guards against engines that are deferred again and again by an entry whose heartbeats are
+// too rare for it to see the queue advance.
+func TestOutdatedStateIsNotLive(t *testing.T) {
 	for age, live := range map[time.Duration]bool{0: true, allowed / 2: true, allowed * 5 / 8: false, time.Minute: false} {
 		turns := mtturns.New(allowed, 0, lead, 0)
 		for i := range 24 {
 			turns.Put(id(i), true, false, &fleetv1.Load{}, age)
 		}
-		turns.Arrange(byName)
+		turns.Arrange(hashByID)
 		turn := turns.Of(id(3))
 		NewWithT(t).Expect(turn.GetLive()).To(Equal(live), "%v", age)
 		NewWithT(t).Expect(turn.GetPlace()).To(Equal(uint32(3)))
@@ -91,9 +93,9 @@
 	}
 }
 
-// One sidecar tells of a load of a millisecond, another of one of an hour: the pace
-// is that of the others.
-func TestFalseLoadsDoNotDecide(t *testing.T) {
+// Reported load times of a millisecond, of an hour and below zero must not affect the pace
+// set by the other loads.
+func TestOutlierLoadTimesAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	turns := mtturns.New(allowed, time.Minute, lead, 0)
 	for i := range 18 {
@@ -106,86 +108,86 @@
 		case 5:
 			took = -time.Second
 		}
-		turns.Put(id(i), true, false, loaded(time.Duration(40-i)*time.Second, time.Duration(38-i)*time.Second, took, took), 0)
+		turns.Put(id(i), true, false, loadReport(time.Duration(40-i)*time.Second, time.Duration(38-i)*time.Second, took, took), 0)
 	}
-	turns.Arrange(byName)
+	turns.Arrange(hashByID)
 	g.Expect(turns.Took()).To(Equal(1100 * time.Millisecond))
 	g.Expect(turns.AtOnce()).To(Equal(3))
 }
 
-// Weights are named while some engines still wait for the last ones: these come
-// first, those that have just loaded last, so that none is put off for ever and
-// none loads twice while others have not.
-func TestTheLongestWaitIsFirst(t *testing.T) {
+// Weights are announced while some engines still wait for the previous ones. These come
+// first and those that have just loaded come last, so that none is deferred forever and
+// none loads twice while others have not loaded.
+func TestLongestWaitingEngineIsFirst(t *testing.T) {
 	g := NewWithT(t)
 	turns := mtturns.New(allowed, time.Second, lead, 0)
-	turns.Put(id(0), true, false, loaded(3*time.Second, time.Second, time.Second, time.Second), 0)
+	turns.Put(id(0), true, false, loadReport(3*time.Second, time.Second, time.Second, time.Second), 0)
 	turns.Put(id(1), true, false, &fleetv1.Load{}, 0)
 	turns.Put(id(2), true, true, &fleetv1.Load{Begun: durationpb.New(200 * time.Millisecond)}, 0)
-	turns.Put(id(3), true, false, loaded(9*time.Second, 8*time.Second, time.Second, time.Second), 0)
-	turns.Arrange(byName)
+	turns.Put(id(3), true, false, loadReport(9*time.Second, 8*time.Second, time.Second, time.Second), 0)
+	turns.Arrange(hashByID)
 	places := map[string]uint32{}
 	for i := range 4 {
 		places[id(i)] = turns.Of(id(i)).GetPlace()
 	}
 	g.Expect(places).To(Equal(map[string]uint32{id(1): 0, id(3): 1, id(0): 2, id(2): 3}))
-	g.Expect(turns.Of(id(1)).GetHead().AsDuration()).To(BeNumerically(">", 0), "one has begun just now")
+	g.Expect(turns.Of(id(1)).GetHead().AsDuration()).To(BeNumerically(">", 0), "a load has just started")
 }
 
-// A fleet that hears little of its engines, and one whose engines are away.
-func TestWhatTheQueueTells(t *testing.T) {
+// Queues with no recent state of their engines, with too many engines unavailable, and with
+// the same after the deadline.
+func TestLiveAndFullFlags(t *testing.T) {
 	g := NewWithT(t)
-	deaf := mtturns.New(allowed, time.Second, lead, 0)
-	crowded := mtturns.New(allowed, time.Second, lead, 0)
-	late := mtturns.New(allowed, 11*time.Second, lead, 0)
+	uninformed := mtturns.New(allowed, time.Second, lead, 0)
+	full := mtturns.New(allowed, time.Second, lead, 0)
+	overdue := mtturns.New(allowed, 11*time.Second, lead, 0)
 	for i := range 18 {
-		deaf.Put(id(i), true, false, nil, 0)
-		crowded.Put(id(i), true, i < 8, &fleetv1.Load{}, 0)
-		late.Put(id(i), true, i < 8, &fleetv1.Load{}, 0)
+		uninformed.Put(id(i), true, false, nil, 0)
+		full.Put(id(i), true, i < 8, &fleetv1.Load{}, 0)
+		overdue.Put(id(i), true, i < 8, &fleetv1.Load{}, 0)
 	}
-	for _, turns := range []*mtturns.Turns{deaf, crowded, late} {
-		turns.Arrange(byName)
+	for _, turns := range []*mtturns.Turns{uninformed, full, overdue} {
+		turns.Arrange(hashByID)
 	}
-	g.Expect(deaf.Of(id(9)).GetLive()).To(BeFalse())
-	g.Expect(crowded.Of(id(9)).GetLive()).To(BeTrue())
-	g.Expect(crowded.Of(id(9)).GetFull()).To(BeTrue())
-	g.Expect(late.Of(id(9)).GetFull()).To(BeFalse(), "the time for older weights is nearly over")
+	g.Expect(uninformed.Of(id(9)).GetLive()).To(BeFalse())
+	g.Expect(full.Of(id(9)).GetLive()).To(BeTrue())
+	g.Expect(full.Of(id(9)).GetFull()).To(BeTrue())
+	g.Expect(overdue.Of(id(9)).GetFull()).To(BeFalse(), "the time for older weights is nearly over")
 }
 
-// A fleet of 300 engines whose loads take half a second is through its turns in the
-// time of one of 18.
-func TestTurnsDoNotGrowWithTheFleet(t *testing.T) {
+// A rollout to 300 engines whose loads take half a second takes no longer than one to 18.
+func TestRolloutTimeDoesNotGrowWithFleet(t *testing.T) {
 	for _, engines := range []int{18, 45, 300, 2700} {
-		turns := rolled(engines, engines/6, 550*time.Millisecond, 550*time.Millisecond)
+		turns := queueAfterRollout(engines, engines/6, 550*time.Millisecond, 550*time.Millisecond)
 		last := time.Duration(engines-1) * turns.Of(id(0)).GetInterval().AsDuration()
 		NewWithT(t).Expect(last).To(BeNumerically("<", 4*time.Second), fmt.Sprint(engines))
 	}
 }
 
-// However large the fleet, the last turn comes within the time allowed.
-func TestAllTurnsAreInTime(t *testing.T) {
+// The last turn is within the time allowed for any fleet size.
+func TestLastTurnIsWithinTimeAllowed(t *testing.T) {
 	for _, engines := range []int{1, 3, 9, 18, 45, 300, 2700} {
 		turns := mtturns.New(8*time.Second, 0, lead, 0)
 		for i := range engines {
 			turns.Put(fmt.Sprintf("e%04d", i), true, false, nil, 0)
 		}
-		turns.Arrange(byName)
+		turns.Arrange(hashByID)
 		last := time.Duration(engines-1) * turns.Of("e0000").GetInterval().AsDuration()
 		NewWithT(t).Expect(last).To(BeNumerically("<", 6*time.Second), fmt.Sprint(engines))
 	}
 }
 
-// Answers last for half a minute: with engines that wait as long for their runs no
-// time would be left for the loads, and all 18 would be told to load at once.
+// Answers last for half a minute: if engines waited as long for their runs to end, no time
+// would be left for the loads, and all 18 would load at once.
 func TestLongAnswersLeaveTimeForLoads(t *testing.T) {
 	for _, allowed := range []time.Duration{3 * time.Second, 8 * time.Second, 12 * time.Second} {
 		g := NewWithT(t)
 		turns := mtturns.New(allowed, 0, 30*time.Second, 0)
 		for i := range 18 {
 			ended := time.Duration(60-i) * time.Second
-			turns.Put(id(i), true, false, loaded(ended+time.Second, ended, 300*time.Millisecond, 300*time.Millisecond), 0)
+			turns.Put(id(i), true, false, loadReport(ended+time.Second, ended, 300*time.Millisecond, 300*time.Millisecond), 0)
 		}
-		turns.Arrange(byName)
+		turns.Arrange(hashByID)
 		g.Expect(turns.AtOnce()).To(BeNumerically("<=", 6), allowed.String())
 		g.Expect(turns.Of(id(0)).GetLead().AsDuration()).To(BeNumerically("<=", allowed/6))
 	}
@@ -196,7 +198,7 @@
 	for i := range 18 {
 		turns.Put(id(i), true, false, &fleetv1.Load{}, 0)
 	}
-	turns.Arrange(byName)
+	turns.Arrange(hashByID)
 	fmt.Println(turns.AtOnce(), "at once,", turns.Took(), "each")
 	// Output: 4 at once, 1s each
 }
@@ -206,7 +208,7 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				rolled(engines, max(1, engines/6), time.Second, time.Second)
+				queueAfterRollout(engines, max(1, engines/6), time.Second, time.Second)
 			}
 		})
 	}
