--- a/internal/relay/mtrollout/load.go
+++ b/internal/relay/mtrollout/load.go
@@ -9,61 +9,63 @@
 	fleetv1 "github.com/mustardtide/mustardtide/gen/mustardtide/fleet/v1"
 )
 
-// load is what is seen of an engine's loads. The zero value has seen none.
+// load tracks the loads of an engine as they are observed. The zero value has observed none.
 type load struct {
-	seen bool
-	away bool
-	busy bool
-	// since is when the engine got no more requests, ordered when its load began.
-	since   time.Time
-	ordered time.Time
-	ended   time.Time
-	took    time.Duration
-	least   time.Duration
-	// served is the sum of the versions that the engine had when its load began.
-	served int64
+	observed    bool
+	unavailable bool
+	busy        bool
+	// unavailableSince is when the engine stopped getting requests, startedAt when its load
+	// began.
+	unavailableSince time.Time
+	startedAt        time.Time
+	endedAt          time.Time
+	duration         time.Duration
+	minDuration      time.Duration
+	// versionSum is the sum of the engine's versions when its load began.
+	versionSum int64
 }
 
-// waiting says that the engine gets no requests while its runs end.
-func (l *load) waiting() bool { return l.away && !l.busy }
+// draining reports whether the engine gets no requests so that its runs can end before
+// the load.
+func (l *load) draining() bool { return l.unavailable && !l.busy }
 
-// see takes in whether the engine loads, whether it gets no requests, and the sum of the
-// versions that it serves. An engine that crashes in the middle of its load comes back
-// with the weights of before: what that took says nothing of loads, and would look as if
-// they slowed each other down.
-func (l *load) see(busy, away bool, serves int64) {
+// observe records whether the engine loads, whether it gets no requests, and the sum of
+// the versions that it serves. An engine that crashes during its load comes back with its
+// previous weights: the time of such a load is discarded, as it says nothing about loads
+// and would look as if they slowed each other down.
+func (l *load) observe(busy, unavailable bool, versions int64) {
 	now := time.Now()
-	if away && !l.away {
-		l.since, l.ended, l.took = now, time.Time{}, 0
+	if unavailable && !l.unavailable {
+		l.unavailableSince, l.endedAt, l.duration = now, time.Time{}, 0
 	}
 	if busy && !l.busy {
-		l.ordered, l.served = now, serves
+		l.startedAt, l.versionSum = now, versions
 	}
 	if !busy && l.busy {
-		l.ended = now
-		if l.seen && !l.ordered.IsZero() && serves > l.served {
-			l.took = now.Sub(l.ordered)
-			l.least = min(cmp.Or(l.least, l.took), l.took)
+		l.endedAt = now
+		if l.observed && !l.startedAt.IsZero() && versions > l.versionSum {
+			l.duration = now.Sub(l.startedAt)
+			l.minDuration = min(cmp.Or(l.minDuration, l.duration), l.duration)
 		}
 	}
-	if !l.seen && busy {
-		// A restarted sidecar meets an engine that loads: how long is not known.
-		l.ordered = time.Time{}
+	if !l.observed && busy {
+		// A restarted sidecar finds an engine loading: the start of that load is unknown.
+		l.startedAt = time.Time{}
 	}
-	l.seen, l.busy, l.away = true, busy, away
+	l.observed, l.busy, l.unavailable = true, busy, unavailable
 }
 
-func (l *load) tell() *fleetv1.Load {
-	told := &fleetv1.Load{}
-	if l.since.IsZero() {
-		return told
+func (l *load) toProto() *fleetv1.Load {
+	out := &fleetv1.Load{}
+	if l.unavailableSince.IsZero() {
+		return out
 	}
-	told.Begun = durationpb.New(time.Since(l.since))
-	if !l.ended.IsZero() {
-		told.Ended = durationpb.New(time.Since(l.ended))
+	out.Begun = durationpb.New(time.Since(l.unavailableSince))
+	if !l.endedAt.IsZero() {
+		out.Ended = durationpb.New(time.Since(l.endedAt))
 	}
-	if l.took > 0 {
-		told.Took, told.Least = durationpb.New(l.took), durationpb.New(l.least)
+	if l.duration > 0 {
+		out.Took, out.Least = durationpb.New(l.duration), durationpb.New(l.minDuration)
 	}
-	return told
+	return out
 }
--- a/internal/relay/mtrollout/plan.go
+++ b/internal/relay/mtrollout/plan.go
@@ -1,10 +1,10 @@
-// Package mtrollout decides when one engine is ordered to load new weights.
+// Package mtrollout decides when an engine is ordered to load new weights.
 //
-// The load it answers is new weights for a whole fleet. An engine that loads
-// refuses requests, so most engines must serve at any moment: each waits for its
-// turn in a queue that all entries work out alike. The sidecar keeps the turn that
-// it heard, so that the engine gets its weights in time also where the entries
-// fall silent in the middle.
+// It is designed for new weights for a whole fleet. An engine that loads refuses
+// requests, so most engines must serve at any moment: each waits for its turn in a
+// queue that all entries compute identically. The sidecar keeps the last turn that it
+// received, so that the engine gets its weights in time even if the entries stop
+// sending during a rollout.
 package mtrollout
 
 import (
@@ -16,104 +16,105 @@
 )
 
 const (
-	// firstLead is how long before its order an engine gets no more requests where
-	// no entry has told. Those that are left go on under the new weights, and what
-	// they make then counts for nothing.
-	firstLead = 400 * time.Millisecond
-	// shortestLead lets a request that is on its way arrive before the order;
-	// longestLead keeps an engine with one endless run from standing idle.
-	shortestLead = 50 * time.Millisecond
-	longestLead  = 2 * time.Second
-	// againTime is the wait before an order without an answer is sent again,
-	// where the report shows nothing of it.
-	againTime = 600 * time.Millisecond
-	// failedTime is the wait after an order that the engine did not take.
-	failedTime = time.Second
-	// fullTime is how long an entry's word counts that enough engines load: two of
-	// its greetings and a little, so that one that is lost changes nothing.
-	fullTime = 600 * time.Millisecond
-	// patience is the part of the time allowed for older weights until which a turn
-	// that has come is put off while enough others load: the rest is for the loads of
-	// those that then go all the same.
-	patience = 0.6
-	// spreadShare is the part over which those that are put off no longer are spread.
+	// defaultLead is how long before its order an engine stops getting requests if no entry
+	// has sent a lead. Runs that have not ended by then continue under the new weights, and
+	// their further output is worthless.
+	defaultLead = 400 * time.Millisecond
+	// minLead lets a request in transit arrive before the order; maxLead keeps an engine
+	// with an endless run from standing idle.
+	minLead = 50 * time.Millisecond
+	maxLead = 2 * time.Second
+	// retryDelay is the wait before an order without an answer is sent again, if the
+	// engine's report shows no effect of it.
+	retryDelay = 600 * time.Millisecond
+	// refusedDelay is the wait after an order that the engine refused.
+	refusedDelay = time.Second
+	// fullTTL is how long an entry's message that enough engines load stays valid: slightly
+	// more than two of its heartbeat intervals, so that the loss of one changes nothing.
+	fullTTL = 600 * time.Millisecond
+	// maxDeferralShare is the share of the time allowed for older weights until which a turn
+	// that has come is deferred while enough others load. The rest is for the loads of the
+	// engines that then start regardless.
+	maxDeferralShare = 0.6
+	// spreadShare is the share of the time allowed over which the starts of engines whose
+	// deferral has ended are spread.
 	spreadShare = 0.15
-	// mostNamed bounds the weights that are kept of a model: the first have the earliest
-	// turn, the last is to be loaded.
-	mostNamed = 8
-	// unbounded stands for the time allowed where the settings name none.
-	unbounded = time.Minute
+	// maxPending limits the weights that are kept for a model: the first have the earliest
+	// turn, the last is the one to load.
+	maxPending = 8
+	// defaultAllowed is the time allowed if the settings specify none.
+	defaultAllowed = time.Minute
 )
 
-// Plan is for one engine. It is not safe for concurrent use.
+// Plan schedules the loads of one engine. It is not safe for concurrent use.
 type Plan struct {
 	allowed time.Duration
-	// named are the weights named of each model that the engine was not seen to serve,
-	// and the newest; namings are their ages. serves is the version that it was last seen
-	// to serve.
-	named   map[string][]due
-	namings map[string]*mtnaming.Naming
-	serves  map[string]int64
-	blocked time.Time
-	// turn is the last that an entry told; full is when one said that enough
-	// engines load.
-	turn *fleetv1.Turn
-	full time.Time
-	load load
+	// pending holds, for each model, the announced weights that the engine was not yet seen
+	// to serve, and the newest. namings holds their ages, and served the version that the
+	// engine was last seen to serve.
+	pending      map[string][]scheduledLoad
+	namings      map[string]*mtnaming.Naming
+	served       map[string]int64
+	blockedUntil time.Time
+	// turn is the last turn received from an entry; fullAt is when an entry reported that
+	// enough engines load, zero if the last one did not.
+	turn   *fleetv1.Turn
+	fullAt time.Time
+	load   load
 }
 
-// due is when new weights are to be ordered.
-type due struct {
+// scheduledLoad is a load of new weights and the time at which it is to be ordered.
+type scheduledLoad struct {
 	weights *fleetv1.Weights
 	at      time.Time
 }
 
-// New returns a plan without weights; allowed is the time after their naming in
+// New returns a plan without weights. allowed is the time after their announcement within
 // which the engine must have them.
 func New(allowed time.Duration) *Plan {
 	if allowed <= 0 {
-		allowed = unbounded
+		allowed = defaultAllowed
 	}
-	return &Plan{allowed: allowed, named: map[string][]due{}, namings: map[string]*mtnaming.Naming{}, serves: map[string]int64{}}
+	return &Plan{allowed: allowed, pending: map[string][]scheduledLoad{}, namings: map[string]*mtnaming.Naming{}, served: map[string]int64{}}
 }
 
-// Turn takes in the engine's turn as an entry sees it. An engine that waits follows
-// the queue where the entry sees it move, faster or slower than was foreseen; an
-// entry that hears little would put it off for ever.
+// Turn sets the engine's turn as computed by an entry. A waiting engine follows the queue,
+// faster or slower than expected, if the entry sees the queue advance; an entry with
+// little recent state would defer it forever.
 func (p *Plan) Turn(turn *fleetv1.Turn) {
 	p.turn = turn
-	p.full = time.Time{}
+	p.fullAt = time.Time{}
 	if turn.GetFull() {
-		p.full = time.Now()
+		p.fullAt = time.Now()
 	}
 	if !turn.GetLive() {
 		return
 	}
-	for model, list := range p.named {
+	for model, list := range p.pending {
 		for i, d := range list {
-			if d.weights.GetVersion() > p.serves[model] {
-				list[i].at = p.at(model)
+			if d.weights.GetVersion() > p.served[model] {
+				list[i].at = p.startTime(model)
 			}
 		}
 	}
 }
 
-// at is when an engine with the last turn told is to be ordered to load a model's newest
-// weights.
-func (p *Plan) at(model string) time.Time { return earlier(p.due(), p.latest(model)) }
+// startTime returns when an engine with the current turn is to be ordered to load a
+// model's newest weights.
+func (p *Plan) startTime(model string) time.Time { return earlier(p.queueTime(), p.latestStart(model)) }
 
-// latest is when it is to be ordered at the latest, whatever its turn.
-func (p *Plan) latest(model string) time.Time {
-	serves, seen := p.serves[model]
+// latestStart returns the latest time of the order, whatever the engine's turn.
+func (p *Plan) latestStart(model string) time.Time {
+	version, seen := p.served[model]
 	if !seen {
-		serves = p.namings[model].Newest().GetVersion() - 1
+		version = p.namings[model].Newest().GetVersion() - 1
 	}
-	return p.last(model, serves).Add(p.spread())
+	return p.deferralEnd(model, version).Add(p.spreadOffset())
 }
 
-// last is until when the load of an engine with a version may be put off.
-func (p *Plan) last(model string, version int64) time.Time {
-	return time.Now().Add(time.Duration(patience*float64(p.allowed)) - p.namings[model].Behind(version))
+// deferralEnd returns until when the load of an engine with a version may be deferred.
+func (p *Plan) deferralEnd(model string, version int64) time.Time {
+	return time.Now().Add(time.Duration(maxDeferralShare*float64(p.allowed)) - p.namings[model].Behind(version))
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -123,72 +124,72 @@
 	return b
 }
 
-// due is when an engine with the last turn told is to be ordered.
-func (p *Plan) due() time.Time {
-	before := p.before()
+// queueTime returns when an engine with the current turn is to be ordered.
+func (p *Plan) queueTime() time.Time {
+	delay := p.queueDelay()
 	if !p.turn.GetLive() {
-		// Nobody may tell how the queue moves on.
-		before = p.within(p.longest())
+		// Possibly no entry reports how the queue advances: all of it must fit.
+		delay = p.offsetWithin(p.maxDelay())
 	}
-	return time.Now().Add(p.lead() + min(max(0, p.turn.GetHead().AsDuration()+before), p.longest()))
+	return time.Now().Add(p.lead() + min(max(0, p.turn.GetHead().AsDuration()+delay), p.maxDelay()))
 }
 
-// spread is the turn's place among those that are put off no longer: without it all
-// of them would load at once.
-func (p *Plan) spread() time.Duration {
-	return p.within(time.Duration(spreadShare * float64(p.allowed)))
+// spreadOffset returns the engine's offset among those whose deferral has ended: without
+// it all of them would load at once.
+func (p *Plan) spreadOffset() time.Duration {
+	return p.offsetWithin(time.Duration(spreadShare * float64(p.allowed)))
 }
 
-// within is the time that the turns before this one take, where the whole queue may take so
-// long: one that is longer moves faster.
-func (p *Plan) within(longest time.Duration) time.Duration {
+// offsetWithin returns the time that the turns before this one take if the whole queue may
+// take at most longest. A longer queue is compressed to that time.
+func (p *Plan) offsetWithin(longest time.Duration) time.Duration {
 	queue := float64(p.turn.GetQueue())
 	if queue*float64(p.turn.GetInterval().AsDuration()) <= float64(longest) {
-		return min(max(0, p.before()), longest)
+		return min(max(0, p.queueDelay()), longest)
 	}
 	return time.Duration(float64(longest) * min(1, float64(p.turn.GetPlace())/queue))
 }
 
-// before is the time that the turns of the engines before this one take.
-func (p *Plan) before() time.Duration {
+// queueDelay returns the time that the turns of the engines before this one take.
+func (p *Plan) queueDelay() time.Duration {
 	return time.Duration(p.turn.GetPlace()) * p.turn.GetInterval().AsDuration()
 }
 
-// longest bounds what a turn may be put off: half of the time allowed.
-func (p *Plan) longest() time.Duration { return p.allowed / 2 }
+// maxDelay limits the delay of a turn to half of the time allowed.
+func (p *Plan) maxDelay() time.Duration { return p.allowed / 2 }
 
 func (p *Plan) lead() time.Duration {
 	if p.turn.GetLead() == nil {
-		return firstLead
+		return defaultLead
 	}
-	return min(longestLead, max(shortestLead, p.turn.GetLead().AsDuration()))
+	return min(maxLead, max(minLead, p.turn.GetLead().AsDuration()))
 }
 
-// Name takes in a model's newest weights and their ages. It reports whether they are
-// news.
+// Name records a model's newest weights and their ages. It reports whether they are
+// new.
 func (p *Plan) Name(weights *fleetv1.Weights) bool {
 	model := weights.GetModel()
 	if p.namings[model] == nil {
 		p.namings[model] = mtnaming.New(p.allowed)
 	}
-	list := p.named[model]
+	list := p.pending[model]
 	if !p.namings[model].Merge(weights) {
-		// The ages may be greater than what was known.
+		// The received ages may be greater than the known ones.
 		for i, d := range list {
-			if d.weights.GetVersion() > p.serves[model] {
-				list[i].at = earlier(d.at, p.latest(model))
+			if d.weights.GetVersion() > p.served[model] {
+				list[i].at = earlier(d.at, p.latestStart(model))
 			}
 		}
 		return false
 	}
-	if len(list) == mostNamed {
+	if len(list) == maxPending {
 		list = slices.Delete(list, 1, 2)
 	}
-	p.named[model] = append(list, due{weights: weights, at: p.at(model)})
+	p.pending[model] = append(list, scheduledLoad{weights: weights, at: p.startTime(model)})
 	return true
 }
 
-// Age is how long ago the newest weights of a model were named, 0 where none were.
+// Age returns the time since the newest weights of a model were announced, 0 if none were.
 func (p *Plan) Age(model string) time.Duration {
 	if p.namings[model] == nil {
 		return 0
@@ -196,13 +197,13 @@
 	return p.namings[model].Age()
 }
 
-// turnOf returns the newest weights of a model and the earliest turn of those that an
-// engine with a version lacks: weights that follow each other quickly must not put it
-// off for ever. It keeps the turn also where it was loading and crashed.
-func (p *Plan) turnOf(model string, version int64) (due, bool) {
-	list := p.named[model]
+// loadFor returns the newest weights of a model with the earliest turn of all the weights
+// that an engine with a version lacks: weights in quick succession must not defer it
+// forever. An engine that crashed during its load keeps its turn too.
+func (p *Plan) loadFor(model string, version int64) (scheduledLoad, bool) {
+	list := p.pending[model]
 	if len(list) == 0 || newest(list).GetVersion() <= version {
-		return due{}, false
+		return scheduledLoad{}, false
 	}
 	found := list[len(list)-1]
 	for _, d := range list {
@@ -213,39 +214,39 @@
 	return found, true
 }
 
-// forget drops the weights that are no newer than those that the engine serves, but for
+// prune drops the weights that are no newer than those that the engine serves, except for
 // the newest.
-func (p *Plan) forget(model string, version int64) {
-	list := p.named[model]
-	p.serves[model] = version
+func (p *Plan) prune(model string, version int64) {
+	list := p.pending[model]
+	p.served[model] = version
 	for len(list) > 1 && list[0].weights.GetVersion() <= version {
 		list = list[1:]
-		p.named[model] = list
+		p.pending[model] = list
 	}
 }
 
-// newest is the last of the weights named of a model, nil for none.
-func newest(list []due) *fleetv1.Weights {
+// newest returns the last of the announced weights of a model, nil if there are none.
+func newest(list []scheduledLoad) *fleetv1.Weights {
 	if len(list) == 0 {
 		return nil
 	}
 	return list[len(list)-1].weights
 }
 
-// See takes in which weights the engine serves, and whether it loads.
+// See records which weights the engine serves, and whether it loads.
 func (p *Plan) See(report *fleetv1.Report) {
-	var serves int64
+	var versions int64
 	for _, m := range report.GetModels() {
-		serves += m.GetVersion()
-		p.forget(m.GetModel(), m.GetVersion())
+		versions += m.GetVersion()
+		p.prune(m.GetModel(), m.GetVersion())
 	}
-	p.load.see(report.GetBusy(), p.Ordering(report), serves)
+	p.load.observe(report.GetBusy(), p.Ordering(report), versions)
 }
 
-// Load is the last load of weights that was seen.
-func (p *Plan) Load() *fleetv1.Load { return p.load.tell() }
+// Load returns the last observed load of weights.
+func (p *Plan) Load() *fleetv1.Load { return p.load.toProto() }
 
-// Named lists the newest weights of all models, with their ages.
+// Named returns the newest weights of all models, with their ages.
 func (p *Plan) Named() []*fleetv1.Weights {
 	var list []*fleetv1.Weights
 	for _, naming := range p.namings {
@@ -254,60 +255,60 @@
 	return list
 }
 
-// Ordering says that the engine takes no requests, or will not by the time that
-// they arrive: an order is under way or about to be sent.
+// Ordering reports whether the engine takes no requests, or will take none by the time
+// that they arrive: an order is in progress or about to be sent.
 func (p *Plan) Ordering(report *fleetv1.Report) bool {
 	if report.GetBusy() {
 		return true
 	}
-	d, last, ok := p.behind(report)
-	if !ok || !time.Now().After(p.blocked) {
+	d, deferredUntil, ok := p.nextLoad(report)
+	if !ok || !time.Now().After(p.blockedUntil) {
 		return false
 	}
-	return p.load.waiting() || p.come(d, last)
+	return p.load.draining() || p.turnReached(d, deferredUntil)
 }
 
-// come says that an engine's turn has come. While enough others load it is put
-// off until last, and those that were put off then go in their order: loads would take
-// longer, and too few engines would serve.
-func (p *Plan) come(d due, last time.Time) bool {
+// turnReached reports whether the engine's turn has come. While enough others load, the turn
+// is put back to deferredUntil, and engines put back start in queue order from then on:
+// otherwise loads would take longer, and too few engines would serve.
+func (p *Plan) turnReached(d scheduledLoad, deferredUntil time.Time) bool {
 	now := time.Now()
 	if now.Before(d.at.Add(-p.lead())) {
 		return false
 	}
-	return now.Sub(p.full) > fullTime || now.After(last.Add(p.spread()))
+	return now.Sub(p.fullAt) > fullTTL || now.After(deferredUntil.Add(p.spreadOffset()))
 }
 
-// Until is how long nothing changes by itself; 0 where something is due now, and
-// less than zero where no turn is coming.
+// Until returns the time until the lead of the next scheduled load begins: 0 if it has
+// begun, negative if no load is scheduled.
 func (p *Plan) Until(report *fleetv1.Report) time.Duration {
-	d, _, ok := p.behind(report)
+	d, _, ok := p.nextLoad(report)
 	if !ok {
 		return -1
 	}
 	return max(0, time.Until(d.at.Add(-p.lead())))
 }
 
-// Next returns the order that is to be sent now, or nil. An idle engine's is due
-// as soon as Ordering says so; its sidecar lets the entries know first.
+// Next returns the order that is to be sent now, or nil. The order of an idle engine is due
+// as soon as Ordering returns true; the sidecar informs the entries first.
 func (p *Plan) Next(report *fleetv1.Report) *fleetv1.Swap {
-	d, _, ok := p.behind(report)
+	d, _, ok := p.nextLoad(report)
 	if !ok || report.GetBusy() || !p.Ordering(report) {
 		return nil
 	}
 	now := time.Now()
 	idle := report.GetRunning()+report.GetWaiting() == 0
-	if !idle && now.Sub(p.load.since) < p.lead() {
+	if !idle && now.Sub(p.load.unavailableSince) < p.lead() {
 		return nil
 	}
-	// An order without an answer may still be carried out. It names the count of
-	// orders before it, so that of it and its repeat only one can be.
-	p.blocked = now.Add(againTime)
+	// An order without an answer may still be carried out. It carries the number of
+	// orders before it, so that only one of it and its retry can be.
+	p.blockedUntil = now.Add(retryDelay)
 	return &fleetv1.Swap{Weights: d.weights, Fence: d.weights.GetRevision(), Expected: report.GetOrders()}
 }
 
-// Answered notes what became of an order. One without an answer may still be carried
-// out: the report shows it, or the order is sent again after its time.
+// Answered records the outcome of an order. An order without an answer may still be carried
+// out: either the report shows it, or the order is sent again after retryDelay.
 func (p *Plan) Answered(taken bool, err error) {
 	switch {
 	case err != nil:
@@ -318,23 +319,23 @@
 	}
 }
 
-// Accepted notes that the engine took the order: its report shows the rest.
-func (p *Plan) Accepted() { p.blocked = time.Now().Add(againTime) }
+// Accepted records that the engine accepted the order: its reports show the rest.
+func (p *Plan) Accepted() { p.blockedUntil = time.Now().Add(retryDelay) }
 
-// Refused notes that the engine did not take the order.
-func (p *Plan) Refused() { p.blocked = time.Now().Add(failedTime) }
+// Refused records that the engine refused the order.
+func (p *Plan) Refused() { p.blockedUntil = time.Now().Add(refusedDelay) }
 
-// Renamed notes that the engine has another id: an order that it turned away under the
-// former one may be sent again at once.
-func (p *Plan) Renamed() { p.blocked = time.Time{} }
+// Renamed records that the engine has a new id: an order that it refused under the previous
+// id may be sent again at once.
+func (p *Plan) Renamed() { p.blockedUntil = time.Time{} }
 
-// behind returns the turn of the first model whose weights are older than named, and
-// until when it may be put off.
-func (p *Plan) behind(report *fleetv1.Report) (due, time.Time, bool) {
+// nextLoad returns the scheduled load of the first model with outdated weights, and until
+// when it may be deferred.
+func (p *Plan) nextLoad(report *fleetv1.Report) (scheduledLoad, time.Time, bool) {
 	for _, m := range report.GetModels() {
-		if d, ok := p.turnOf(m.GetModel(), m.GetVersion()); ok {
-			return d, p.last(m.GetModel(), m.GetVersion()), true
+		if d, ok := p.loadFor(m.GetModel(), m.GetVersion()); ok {
+			return d, p.deferralEnd(m.GetModel(), m.GetVersion()), true
 		}
 	}
-	return due{}, time.Time{}, false
+	return scheduledLoad{}, time.Time{}, false
 }
