--- a/internal/relay/mtlink/link.go
+++ b/internal/relay/mtlink/link.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	// apartSize is the size of a body from which on it is written beside the
-	// reading of the answer: a target may answer before it has read a long body,
-	// and a connection's windows are small.
-	apartSize = 8 << 10
-	// strays is how many answers to other requests are skipped on a connection
-	// before it is given up.
-	strays = 3
-	// strayBody bounds the body of an answer that is skipped.
-	strayBody = 1 << 20
-	// bufferSize holds the head of an answer and most small answers whole.
+	// asyncWriteSize is the size above which a body is written concurrently with reading the
+	// response: a target may respond before it has read a long body, and a connection's
+	// windows are small.
+	asyncWriteSize = 8 << 10
+	// maxStrayResponses is the number of responses read on a connection, in search of the
+	// expected one, before the connection is given up.
+	maxStrayResponses = 3
+	// maxStrayBody limits the body of a response that is skipped.
+	maxStrayBody = 1 << 20
+	// bufferSize fits the head of a response and most small responses entirely.
 	bufferSize = 4 << 10
 )
 
-// Link is one connection to a target. It carries one request at a time.
+// Link is a connection to a target. It carries one request at a time.
 type Link struct {
 	pool    *Pool
 	address string
 	conn    net.Conn
 	reader  *bufio.Reader
-	until   time.Time
+	expires time.Time
 	reused  bool
 
 	closed atomic.Bool
-	// open says that a request was begun whose answer was not read to its end.
-	open atomic.Bool
-	// written gets the outcome of a body that is written apart.
-	written chan error
-	body    *tracked
-	keep    bool
+	// unfinished reports whether a request was started whose response has not been read to
+	// its end.
+	unfinished atomic.Bool
+	// written receives the result of a body that is written asynchronously.
+	written  chan error
+	body     *trackedBody
+	reusable bool
 }
 
-// tracked notes whether a body was read to its end.
-type tracked struct {
+// trackedBody records whether a body was read to its end.
+type trackedBody struct {
 	io.ReadCloser
-	whole bool
+	complete bool
 }
 
-func (t *tracked) Read(p []byte) (int, error) {
+func (t *trackedBody) Read(p []byte) (int, error) {
 	n, err := t.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
-		t.whole = true
+		t.complete = true
 	}
 	return n, err
 }
@@ -65,13 +66,14 @@
 	return &Link{pool: pool, address: address, conn: conn, reader: bufio.NewReaderSize(conn, bufferSize)}
 }
 
-// Reused says that the connection carried a request before.
+// Reused reports whether the connection has carried a request before.
 func (l *Link) Reused() bool { return l.reused }
 
-// Send writes one request. A long body goes on in a goroutine that ends with
-// the connection or the body; Release waits for it.
+// Send writes one request. A long body is written by a goroutine that ends with the
+// connection or the body; Release returns the connection to the pool only if that
+// goroutine has ended.
 func (l *Link) Send(method, uri, host string, header http.Header, body []byte) error {
-	l.open.Store(true)
+	l.unfinished.Store(true)
 	var head bytes.Buffer
 	head.WriteString(method + " " + uri + " HTTP/1.1\r\nHost: " + host + "\r\n")
 	if err := header.Write(&head); err != nil {
@@ -81,7 +83,7 @@
 		head.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
-	if len(body) <= apartSize {
+	if len(body) <= asyncWriteSize {
 		head.Write(body)
 		_, err := l.conn.Write(head.Bytes())
 		return trace.Wrap(err)
@@ -95,34 +97,34 @@
 	return nil
 }
 
-// Receive reads the head of the answer for which mine holds. A target may send
-// a second answer to an earlier request, late, where the next is expected: it
+// Receive reads the head of the response for which matches returns true. A target may send
+// a late second response to an earlier request where the next one is expected: it
 // belongs to no request and is skipped.
-func (l *Link) Receive(method string, mine func(*http.Response) bool) (*http.Response, error) {
-	asked := &http.Request{Method: method}
-	for range strays {
-		response, err := l.head(asked)
+func (l *Link) Receive(method string, matches func(*http.Response) bool) (*http.Response, error) {
+	request := &http.Request{Method: method}
+	for range maxStrayResponses {
+		response, err := l.readHead(request)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		if mine(response) {
-			l.body = &tracked{ReadCloser: response.Body}
+		if matches(response) {
+			l.body = &trackedBody{ReadCloser: response.Body}
 			response.Body = l.body
-			l.keep = !response.Close && framed(response)
+			l.reusable = !response.Close && selfDelimited(response)
 			return response, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(response.Body, strayBody))
-		if err != nil || n == strayBody || response.Close {
+		n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBody))
+		if err != nil || n == maxStrayBody || response.Close {
 			break
 		}
 	}
-	return nil, trace.BadParameter("%s sent an answer to another request", l.address)
+	return nil, trace.BadParameter("%s sent a response to another request", l.address)
 }
 
-// head reads the next head that is no interim answer.
-func (l *Link) head(asked *http.Request) (*http.Response, error) {
+// readHead reads the next response head that is not an interim response.
+func (l *Link) readHead(request *http.Request) (*http.Response, error) {
 	for {
-		response, err := http.ReadResponse(l.reader, asked)
+		response, err := http.ReadResponse(l.reader, request)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -132,44 +134,44 @@
 	}
 }
 
-// framed says that the answer's end does not rest on the connection's.
-func framed(r *http.Response) bool {
+// selfDelimited reports whether the response's end does not depend on the connection's.
+func selfDelimited(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0
 }
 
-// Release returns the connection to the pool if nothing is left on it, and
-// closes it otherwise. idle is how long the target keeps it, 0 if not told.
+// Release returns the connection to the pool if no data is left on it, and closes it
+// otherwise. idle is how long the target keeps idle connections, 0 if unknown.
 func (l *Link) Release(idle time.Duration) {
-	if l.body != nil && l.body.whole {
-		l.open.Store(false)
+	if l.body != nil && l.body.complete {
+		l.unfinished.Store(false)
 	}
-	if !l.whole() {
+	if !l.finished() {
 		l.Close()
 		return
 	}
 	l.reused = true
 	l.body = nil
-	keep := idleTime
+	lifetime := maxIdleTime
 	if idle > 0 {
-		keep = min(keep, time.Duration(float64(idle)*idleShare))
+		lifetime = min(lifetime, time.Duration(float64(idle)*idleShare))
 	}
-	l.until = time.Now().Add(keep)
+	l.expires = time.Now().Add(lifetime)
 	if !l.pool.push(l) {
 		l.Close()
 	}
 }
 
-// whole says that the last request was written and its answer read to the end,
-// and nothing more came.
-func (l *Link) whole() bool {
-	if l.closed.Load() || !l.keep || l.body == nil || !l.body.whole || l.reader.Buffered() > 0 {
+// finished reports whether the last request was written and its response read to the
+// end, with no further bytes received.
+func (l *Link) finished() bool {
+	if l.closed.Load() || !l.reusable || l.body == nil || !l.body.complete || l.reader.Buffered() > 0 {
 		return false
 	}
 	if l.written == nil {
 		return true
 	}
-	// An answer that came before the body was read: what the target reads later
-	// must be the rest of that body, so the connection carries nothing else.
+	// The response arrived before the body was read: the target must next read the rest
+	// of that body, so the connection can't carry another request.
 	select {
 	case err := <-l.written:
 		l.written = nil
@@ -179,25 +181,25 @@
 	}
 }
 
-// Close ends the connection; a request on it is cancelled at most targets. One
-// whose answer is still open ends with a reset: a target that stood still, as
-// on a frozen instance, would else find the request in its buffers when it
-// wakes and run it for nobody.
+// Close closes the connection, which cancels its request at most targets. A connection
+// with an unfinished response is reset: a target that was suspended, as on a frozen
+// instance, would otherwise find the request in its buffers on resuming and run it
+// although no caller is left.
 func (l *Link) Close() {
 	if !l.closed.CompareAndSwap(false, true) {
 		return
 	}
-	if conn, ok := l.conn.(*net.TCPConn); ok && l.open.Load() {
-		// Without it the connection ends as any other; nothing else depends on it.
+	if conn, ok := l.conn.(*net.TCPConn); ok && l.unfinished.Load() {
+		// On an error the connection closes normally; nothing else depends on the reset.
 		_ = conn.SetLinger(0)
 	}
 	l.conn.Close()
 }
 
-// usable says that an idle connection is neither closed by the target nor
-// holds bytes that nobody asked for.
+// usable reports whether an idle connection has not expired, was not closed by the target
+// and holds no unsolicited bytes.
 func (l *Link) usable() bool {
-	if l.closed.Load() || time.Now().After(l.until) {
+	if l.closed.Load() || time.Now().After(l.expires) {
 		return false
 	}
 	source, ok := l.conn.(syscall.Conn)
@@ -210,9 +212,9 @@
 	}
 	quiet := false
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, failure := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(failure, syscall.EAGAIN)
+		var buf [1]byte
+		_, _, recvErr := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		quiet = errors.Is(recvErr, syscall.EAGAIN)
 	})
 	return err == nil && quiet
 }
--- a/internal/relay/mtlink/link_test.go
+++ b/internal/relay/mtlink/link_test.go
@@ -16,18 +16,18 @@
 	"github.com/mustardtide/mustardtide/internal/relay/mtlink"
 )
 
-// target is a listener whose connections a test answers byte by byte.
+// target is a listener whose connections are answered with scripted bytes.
 type target struct {
 	g        Gomega
 	listener net.Listener
 	dials    int
 	pool     *mtlink.Pool
-	// scripts are the answers on one connection after another, in their order.
+	// scripts holds the responses of each connection, in order of acceptance.
 	scripts chan []string
 }
 
-// hang ends an exchange that would wait for ever.
-const hang = 20 * time.Second
+// exchangeTimeout ends an exchange that would otherwise block forever.
+const exchangeTimeout = 20 * time.Second
 
 func newTarget(t *testing.T) *target {
 	g := NewWithT(t)
@@ -44,39 +44,39 @@
 
 func (o *target) address() string { return o.listener.Addr().String() }
 
-// accept takes the next connection and answers each request with the next text.
-// Connections are taken in the order of the calls.
-func (o *target) accept(answers ...string) {
-	o.scripts <- answers
+// accept accepts the next connection and answers each request with the next text.
+// Connections are accepted in the order of the calls.
+func (o *target) accept(responses ...string) {
+	o.scripts <- responses
 	go func() {
 		conn, err := o.listener.Accept()
 		if err != nil {
 			return
 		}
-		o.answer(conn, <-o.scripts)
+		o.serve(conn, <-o.scripts)
 	}()
 }
 
-func (o *target) answer(conn net.Conn, answers []string) {
+func (o *target) serve(conn net.Conn, responses []string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
-	for _, answer := range answers {
+	for _, response := range responses {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		_, _ = io.WriteString(conn, answer)
+		_, _ = io.WriteString(conn, response)
 	}
-	// What is left of the connection's life is the caller's to end.
+	// Keeps the connection open until the caller closes it.
 	_, _ = io.Copy(io.Discard, reader)
 }
 
-// exchange sends one request and reads its answer to the end.
+// exchange sends one request and reads its response to the end.
 func (o *target) exchange(id string) (string, error) {
 	link, err := o.pool.Take(context.Background(), o.address())
 	o.g.Expect(err).NotTo(HaveOccurred())
-	defer time.AfterFunc(hang, link.Close).Stop()
+	defer time.AfterFunc(exchangeTimeout, link.Close).Stop()
 	if err := link.Send(http.MethodGet, "/", "h", http.Header{"Id": {id}}, nil); err != nil {
 		link.Close()
 		return "", err
@@ -91,64 +91,63 @@
 	return string(body), err
 }
 
-func answer(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 3\r\n\r\n" + body
 }
 
-// Two requests share a connection.
-func TestConnectionIsKept(t *testing.T) {
+// Two successive requests use the same connection.
+func TestConnectionIsReused(t *testing.T) {
 	o := newTarget(t)
-	o.accept(answer("1", "one"), answer("2", "two"))
+	o.accept(okResponse("1", "one"), okResponse("2", "two"))
 	o.g.Expect(o.exchange("1")).To(Equal("one"))
 	o.g.Expect(o.exchange("2")).To(Equal("two"))
 	o.g.Expect(o.dials).To(Equal(1))
 }
 
-// A target sends a second answer to an earlier request where the next is
-// expected: it belongs to nobody, and the caller gets its own.
-func TestStrayAnswerIsSkipped(t *testing.T) {
+// A target sends a second response to an earlier request where the next one is expected:
+// it is skipped, and the caller gets the response to its own request.
+func TestStrayResponseIsSkipped(t *testing.T) {
 	o := newTarget(t)
-	o.accept(answer("1", "one"), answer("1", "one")+answer("2", "two"))
+	o.accept(okResponse("1", "one"), okResponse("1", "one")+okResponse("2", "two"))
 	o.g.Expect(o.exchange("1")).To(Equal("one"))
 	o.g.Expect(o.exchange("2")).To(Equal("two"))
 }
 
-// Bytes after an answer belong to no request: the connection carries no other.
-func TestBytesThatNobodyAskedFor(t *testing.T) {
+// Bytes after a response belong to no request: the connection is not used for another.
+func TestUnsolicitedBytesCloseConnection(t *testing.T) {
 	o := newTarget(t)
-	o.accept(answer("1", "one")+"HTTP/1.1 200 OK\r\n", answer("2", "bad"))
-	o.accept(answer("2", "two"))
+	o.accept(okResponse("1", "one")+"HTTP/1.1 200 OK\r\n", okResponse("2", "bad"))
+	o.accept(okResponse("2", "two"))
 	o.g.Expect(o.exchange("1")).To(Equal("one"))
 	o.g.Eventually(func() (string, error) { return o.exchange("2") }).Should(Equal("two"))
 	o.g.Expect(o.dials).To(Equal(2))
 }
 
-// A target closes an idle connection: the next request goes over a new one and
-// is not lost.
-func TestIdleConnectionIsClosed(t *testing.T) {
+// A target closes an idle connection: the next request uses a new one and is not lost.
+func TestIdleConnectionClosedByTarget(t *testing.T) {
 	o := newTarget(t)
-	closed := make(chan struct{})
+	targetClosed := make(chan struct{})
 	go func() {
 		conn, err := o.listener.Accept()
 		if err != nil {
 			return
 		}
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-			_, _ = io.WriteString(conn, answer("1", "one"))
+			_, _ = io.WriteString(conn, okResponse("1", "one"))
 		}
 		conn.Close()
-		close(closed)
+		close(targetClosed)
 	}()
 	o.g.Expect(o.exchange("1")).To(Equal("one"))
-	<-closed
+	<-targetClosed
 	time.Sleep(10 * time.Millisecond)
-	o.accept(answer("2", "two"))
+	o.accept(okResponse("2", "two"))
 	o.g.Expect(o.exchange("2")).To(Equal("two"))
 }
 
-// Answers without a length end with their connection, which is not kept; one
-// that was cut short of its length is an error.
-func TestFrames(t *testing.T) {
+// Responses without a length end with their connection, which is not kept; a response
+// shorter than its length is an error.
+func TestResponseFraming(t *testing.T) {
 	o := newTarget(t)
 	go func() {
 		for _, text := range []string{"HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall", "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 9\r\n\r\nhalf"} {
@@ -168,9 +167,9 @@
 	o.g.Expect(o.dials).To(Equal(2))
 }
 
-// A target answers before it has read a long body and keeps the connection: what
-// it reads later must be the rest of that body, so nothing else is sent on it.
-func TestEarlyAnswer(t *testing.T) {
+// A target responds before it has read a long body and keeps the connection: it must next
+// read the rest of that body, so no other request is sent on the connection.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	o := newTarget(t)
 	go func() {
 		conn, err := o.listener.Accept()
@@ -178,7 +177,7 @@
 			return
 		}
 		_, _ = bufio.NewReaderSize(conn, 16).ReadString('\n')
-		_, _ = io.WriteString(conn, answer("1", "one"))
+		_, _ = io.WriteString(conn, okResponse("1", "one"))
 		time.Sleep(time.Second)
 		conn.Close()
 	}()
@@ -191,13 +190,13 @@
 	_, err = io.ReadAll(response.Body)
 	o.g.Expect(err).NotTo(HaveOccurred())
 	link.Release(0)
-	o.accept(answer("2", "two"))
+	o.accept(okResponse("2", "two"))
 	o.g.Expect(o.exchange("2")).To(Equal("two"))
 	o.g.Expect(o.dials).To(Equal(2))
 }
 
-// Nobody listens: nothing was sent.
-func TestUnreached(t *testing.T) {
+// No listener at the address: Take returns an error, and nothing was sent.
+func TestUnreachableTarget(t *testing.T) {
 	o := newTarget(t)
 	address := o.address()
 	o.listener.Close()
@@ -205,51 +204,51 @@
 	o.g.Expect(err).To(HaveOccurred())
 }
 
-// A caller leaves while its request lies unread at a frozen target: the
-// connection ends with a reset, so that the target does not run the request
-// when it wakes. One whose answer was read whole ends as usual.
+// A caller gives up while its request is unread at a suspended target: the connection is
+// reset, so that the target does not run the request on resuming. A connection whose
+// response was read completely closes normally.
 func TestAbandonedRequestIsReset(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		end    error
+		response string
+		wantErr  error
 	}{
 		"unread":   {"", syscall.ECONNRESET},
-		"answered": {answer("1", "one"), nil},
+		"answered": {okResponse("1", "one"), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := newTarget(t)
-			left, ends := make(chan struct{}), make(chan error, 1)
+			abandoned, readErr := make(chan struct{}), make(chan error, 1)
 			go func() {
 				conn, err := o.listener.Accept()
 				if err != nil {
-					ends <- err
+					readErr <- err
 					return
 				}
 				defer conn.Close()
-				if c.answer != "" {
-					// An empty write would take the reset off a connection that has ended
-					// already.
-					_, _ = io.WriteString(conn, c.answer)
+				if c.response != "" {
+					// An empty write would consume the reset of a connection that has already
+					// ended.
+					_, _ = io.WriteString(conn, c.response)
 				}
-				<-left
+				<-abandoned
 				_, err = io.Copy(io.Discard, conn)
-				ends <- err
+				readErr <- err
 			}()
 			link, err := o.pool.Take(context.Background(), o.address())
 			o.g.Expect(err).NotTo(HaveOccurred())
 			o.g.Expect(link.Send(http.MethodGet, "/", "h", http.Header{"Id": {"1"}}, nil)).To(Succeed())
-			if c.answer != "" {
+			if c.response != "" {
 				response, err := link.Receive(http.MethodGet, func(*http.Response) bool { return true })
 				o.g.Expect(err).NotTo(HaveOccurred())
 				o.g.Expect(io.ReadAll(response.Body)).To(BeEquivalentTo("one"))
 				link.Release(0)
 			}
 			link.Close()
-			close(left)
-			if c.end == nil {
-				o.g.Expect(<-ends).NotTo(HaveOccurred())
+			close(abandoned)
+			if c.wantErr == nil {
+				o.g.Expect(<-readErr).NotTo(HaveOccurred())
 			} else {
-				o.g.Expect(<-ends).To(MatchError(c.end))
+				o.g.Expect(<-readErr).To(MatchError(c.wantErr))
 			}
 		})
 	}
--- a/internal/relay/mtlink/pool.go
+++ b/internal/relay/mtlink/pool.go
@@ -1,8 +1,8 @@
-// Package mtlink keeps connections to targets and sends requests over them.
+// Package mtlink pools connections to targets and sends requests over them.
 //
-// net/http's own transport is not used here: it sends some requests again by
-// itself when a kept connection dies, which would run a request twice that may
-// run once, and it hides how far a request got.
+// It does not use net/http's transport, which retries some requests by itself when a
+// kept connection breaks: that could run a request twice that must run at most once.
+// The transport also hides how much of a request was sent.
 package mtlink
 
 import (
@@ -15,17 +15,17 @@
 )
 
 const (
-	// idleTime is how long a connection is kept where the target does not say:
-	// short beside the idle time-outs that are usual for servers, as a request
-	// that meets the target's close may have run.
-	idleTime = 4 * time.Second
-	// idleShare is the part of the target's own idle time-out that is used.
+	// maxIdleTime is how long an idle connection is kept unless the target's own time-out
+	// is shorter. It is short compared with usual server idle time-outs, as a request that
+	// coincides with the target's close may have run.
+	maxIdleTime = 4 * time.Second
+	// idleShare is the share of the target's own idle time-out that is used.
 	idleShare = 0.6
-	// idlePerTarget bounds the kept connections to one address.
-	idlePerTarget = 32
+	// maxIdlePerTarget limits the idle connections kept per address.
+	maxIdlePerTarget = 32
 )
 
-// Pool keeps idle connections by address. It is safe for concurrent use.
+// Pool holds idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	dial func(ctx context.Context, address string) (net.Conn, error)
 
@@ -40,8 +40,8 @@
 	return &Pool{dial: dial, idle: map[string][]*Link{}, dialed: dialed}
 }
 
-// Take returns a kept connection that is still whole, or a new one. An error
-// means that nothing was sent.
+// Take returns an idle connection that is still usable, or a new one. An error means that
+// nothing was sent.
 func (p *Pool) Take(ctx context.Context, address string) (*Link, error) {
 	for {
 		link := p.pop(address)
@@ -61,8 +61,8 @@
 	return newLink(p, address, conn), nil
 }
 
-// Sweep closes connections that have been idle for too long, and those to
-// addresses that are not in use.
+// Sweep closes connections that have been idle for too long, and those to addresses that
+// are not in use.
 func (p *Pool) Sweep(used func(address string) bool) {
 	now := time.Now()
 	var closing []*Link
@@ -70,7 +70,7 @@
 	for address, links := range p.idle {
 		kept := links[:0]
 		for _, link := range links {
-			if now.Before(link.until) && used(address) {
+			if now.Before(link.expires) && used(address) {
 				kept = append(kept, link)
 			} else {
 				closing = append(closing, link)
@@ -87,7 +87,7 @@
 	}
 }
 
-// pop takes the connection that was used last: the others grow idle and go.
+// pop removes and returns the most recently used connection, so that the others expire.
 func (p *Pool) pop(address string) *Link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +103,7 @@
 func (p *Pool) push(link *Link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[link.address]) >= idlePerTarget {
+	if len(p.idle[link.address]) >= maxIdlePerTarget {
 		return false
 	}
 	p.idle[link.address] = append(p.idle[link.address], link)
