--- a/internal/placement/mtboard/board.go
+++ b/internal/placement/mtboard/board.go
@@ -216,7 +216,7 @@
 // noteStart records when a target's program was started. What an earlier program announced about
 // itself no longer holds.
 func (b *Board) noteStart(id string, born int64) {
-	b.departures.RecordStart(id, born)
+	b.departures.SetStartTime(id, born)
 	b.limiter.SetStartTime(id, born)
 }
 
--- a/internal/placement/mtboard/choice.go
+++ b/internal/placement/mtboard/choice.go
@@ -179,7 +179,7 @@
 	tokens := c.query.sharedTokens()
 	c.saveToStore = c.salt != "" && c.matched+c.fetched < tokens && c.storedTokens < tokens && c.storeUseful
 	if c.salt != "" {
-		c.board.holders.RecordReading(c.salt, c.id, c.query.shared())
+		c.board.holders.RecordPrefill(c.salt, c.id, c.query.shared())
 	}
 }
 
--- a/internal/placement/mtboard/cost.go
+++ b/internal/placement/mtboard/cost.go
@@ -58,8 +58,8 @@
 	c.prefillTokens = left
 	c.work = mtspeed.NewWork(r.queuedTokens()+left, fetched)
 	c.breakdown[itemStart] = speed.Time(mtspeed.Start)
-	c.breakdown[itemQueue] = speed.ReadTime(float64(r.queuedTokens()))
-	c.breakdown[itemPrefill] = speed.ReadTime(float64(left))
+	c.breakdown[itemQueue] = speed.PrefillTime(float64(r.queuedTokens()))
+	c.breakdown[itemPrefill] = speed.PrefillTime(float64(left))
 	if fetched > 0 {
 		c.breakdown[itemFetch] = speed.Time(mtspeed.FetchSetup) + time.Duration(fetched)*speed.Time(mtspeed.Fetch)
 	}
@@ -76,13 +76,13 @@
 	c.wait = c.breakdown[itemQueue]
 	c.breakdown[itemConcurrency] = time.Duration(float64(r.otherRequests()+r.running) * concurrencyShare * float64(speed.Time(mtspeed.Start)))
 	if r.target.GetDatacentre() != b.datacentre {
-		c.breakdown[itemDistance] = speed.ReadTime(distanceTokens)
+		c.breakdown[itemDistance] = speed.PrefillTime(distanceTokens)
 	}
 	if !home && own.Tokens == 0 && len(q.shared()) > 0 {
-		c.breakdown[itemNotHome] = speed.ReadTime(notHomeTokens)
+		c.breakdown[itemNotHome] = speed.PrefillTime(notHomeTokens)
 	}
-	c.breakdown[itemRedundant] = speed.ReadTime(redundantFactor * float64(redundantTokens(c, matches)))
-	c.breakdown[itemCopy] = speed.ReadTime(copyFactor * float64(fetched))
+	c.breakdown[itemRedundant] = speed.PrefillTime(redundantFactor * float64(redundantTokens(c, matches)))
+	c.breakdown[itemCopy] = speed.PrefillTime(copyFactor * float64(fetched))
 	if c.behind > oldWeightsAfter {
 		c.breakdown[itemOldWeights] = scale(oldWeightsShare, q.aim)
 	}
--- a/internal/placement/mtboard/delay.go
+++ b/internal/placement/mtboard/delay.go
@@ -58,7 +58,7 @@
 func (c *Choice) recordStoreFetch(took time.Duration) {
 	store := c.query.store
 	excess := took - c.expected + c.storeDelay
-	prefill := c.speed.ReadTime(float64(c.fetched))
+	prefill := c.speed.PrefillTime(float64(c.fetched))
 	if excess > scale(missThreshold, prefill) && excess < 2*prefill {
 		c.board.holders.Remove(c.salt, store, c.query.shared())
 		return
--- a/internal/placement/mtboard/turns.go
+++ b/internal/placement/mtboard/turns.go
@@ -93,7 +93,7 @@
 	}
 	seed := uint64(naming.Newest().GetRevision())
 	turns.Arrange(func(id string) uint64 { return xxh3.HashStringSeed(id, seed) })
-	b.loadLimits[key] = turns.Knee()
+	b.loadLimits[key] = turns.Saturation()
 	return turns
 }
 
--- a/internal/placement/mtdeparture/departures.go
+++ b/internal/placement/mtdeparture/departures.go
@@ -54,10 +54,10 @@
 	return departing
 }
 
-// RecordStart records when a target's program started, 0 if unknown. A start later than that of the
+// SetStartTime records when a target's program started, 0 if unknown. A start later than that of the
 // departing program belongs to another program and clears the departure. If the start of the
 // departing program is unknown, the first start reported is assumed to be its own.
-func (d *Departures) RecordStart(target string, born int64) {
+func (d *Departures) SetStartTime(target string, born int64) {
 	known, departing := d.targets[target]
 	switch {
 	case !departing || born == 0:
--- a/internal/placement/mtdeparture/departures_test.go
+++ b/internal/placement/mtdeparture/departures_test.go
@@ -18,10 +18,10 @@
 	g.Expect(d.Add("a", 100)).To(BeTrue())
 	g.Expect(d.Add("a", 100)).To(BeFalse())
 	for _, born := range []int64{0, 100, 90} {
-		d.RecordStart("a", born)
+		d.SetStartTime("a", born)
 		g.Expect(d.Has("a")).To(BeTrue())
 	}
-	d.RecordStart("a", 101)
+	d.SetStartTime("a", 101)
 	g.Expect(d.Has("a")).To(BeFalse())
 	g.Expect(d.Add("a", 101)).To(BeTrue())
 }
@@ -32,9 +32,9 @@
 	g := NewWithT(t)
 	d := mtdeparture.New()
 	d.Add("a", 0)
-	d.RecordStart("a", 100)
+	d.SetStartTime("a", 100)
 	g.Expect(d.Has("a")).To(BeTrue())
-	d.RecordStart("a", 200)
+	d.SetStartTime("a", 200)
 	g.Expect(d.Has("a")).To(BeFalse())
 }
 
--- a/internal/placement/mtdirectory/directory.go
+++ b/internal/placement/mtdirectory/directory.go
@@ -42,7 +42,7 @@
 		d.holders.RecordHeld(notice.GetSalt(), notice.GetTarget(), notice.GetParts())
 		return
 	}
-	d.holders.RecordReading(notice.GetSalt(), notice.GetTarget(), notice.GetParts())
+	d.holders.RecordPrefill(notice.GetSalt(), notice.GetTarget(), notice.GetParts())
 }
 
 // Lookup returns the known holders of the part that an entry looks up.
--- a/internal/placement/mtholder/holder.go
+++ b/internal/placement/mtholder/holder.go
@@ -100,9 +100,9 @@
 	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown, store: true})
 }
 
-// RecordReading records that a target was given the parts to read. They cannot be fetched yet, but
+// RecordPrefill records that a target was given the parts to read. They cannot be fetched yet, but
 // other requests that need them are best sent to the same target.
-func (m *Table) RecordReading(salt, target string, parts []*fleetv1.Part) {
+func (m *Table) RecordPrefill(salt, target string, parts []*fleetv1.Part) {
 	m.noteAll(salt, parts, holding{target: target, since: time.Now(), tokens: unknown, reading: true})
 }
 
--- a/internal/placement/mtholder/holder_test.go
+++ b/internal/placement/mtholder/holder_test.go
@@ -35,7 +35,7 @@
 	g := NewWithT(t)
 	m := mtholder.New()
 	m.RecordHeld("s", "a", parts()[:1])
-	m.RecordReading("s", "a", parts()[:2])
+	m.RecordPrefill("s", "a", parts()[:2])
 	g.Expect(m.Matches("s", parts())["a"]).To(Equal(mtholder.Match{Parts: 2, Tokens: 300, Fetchable: 100}))
 	m.RecordHeld("s", "a", parts()[:2])
 	g.Expect(m.Matches("s", parts())["a"].Fetchable).To(Equal(int64(300)))
--- a/internal/placement/mtspeed/speed.go
+++ b/internal/placement/mtspeed/speed.go
@@ -111,8 +111,8 @@
 // Reliable reports whether enough answers were observed to rely on the times.
 func (s *Speed) Reliable() bool { return s.count >= minAnswers }
 
-// ReadTime returns the time that an engine needs to read count tokens.
-func (s *Speed) ReadTime(count float64) time.Duration { return time.Duration(count * s.times[Read]) }
+// PrefillTime returns the time that an engine needs to read count tokens.
+func (s *Speed) PrefillTime(count float64) time.Duration { return time.Duration(count * s.times[Read]) }
 
 // Estimate returns the expected time to first token.
 func (s *Speed) Estimate(w Work) time.Duration {
--- a/internal/relay/mtbeside/order.go
+++ b/internal/relay/mtbeside/order.go
@@ -41,7 +41,7 @@
 	}
 	before := s.report
 	s.report = report
-	s.plan.See(report)
+	s.plan.Observe(report)
 	back := s.failed >= lostAfter
 	s.failed = 0
 	if back {
--- a/internal/relay/mtbeside/sidecar.go
+++ b/internal/relay/mtbeside/sidecar.go
@@ -123,7 +123,7 @@
 	if s.plan.Ordering(s.report) {
 		return orderTick
 	}
-	if until := s.plan.Until(s.report); until >= 0 {
+	if until := s.plan.UntilDue(s.report); until >= 0 {
 		return min(tickTime, max(until, time.Millisecond))
 	}
 	return tickTime
@@ -171,7 +171,7 @@
 func (s *Sidecar) lacksWeights() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.plan.Until(s.report) >= 0
+	return s.plan.UntilDue(s.report) >= 0
 }
 
 // askCustody reads from the store whether an entry gives the engine its orders: one may
--- a/internal/relay/mtbeside/tell.go
+++ b/internal/relay/mtbeside/tell.go
@@ -44,10 +44,10 @@
 	s.entries.Hear(from, hello)
 	if s.target != hello.GetTarget() {
 		s.target = hello.GetTarget()
-		s.plan.Renamed()
+		s.plan.IDChanged()
 	}
 	if hello.GetTurn() != nil && (!hello.GetFar() || !s.entries.HeardNear()) {
-		s.plan.Turn(hello.GetTurn())
+		s.plan.SetTurn(hello.GetTurn())
 	}
 	if hello.GetCustody() > 0 {
 		s.hearCustody(hello)
@@ -119,10 +119,10 @@
 
 // name takes in named weights; the sidecar is locked.
 func (s *Sidecar) name(weights *fleetv1.Weights, source string) {
-	if s.plan.Name(weights) {
+	if s.plan.AddWeights(weights) {
 		s.trail.Say(mtkind.WeightsNamed, zap.String("model", weights.GetModel()),
 			zap.Int64("version", weights.GetVersion()), zap.Int64("revision", weights.GetRevision()),
-			zap.Duration("due", s.plan.Until(s.report)), zap.Duration("age", s.plan.Age(weights.GetModel())), zap.String("from", source))
+			zap.Duration("due", s.plan.UntilDue(s.report)), zap.Duration("age", s.plan.Age(weights.GetModel())), zap.String("from", source))
 	}
 }
 
@@ -135,7 +135,7 @@
 		Answers:  s.failed < lostAfter,
 		Ordering: s.plan.Ordering(s.report),
 		Entries:  uint32(s.entries.Live()),
-		Named:    s.plan.Named(),
+		Named:    s.plan.Published(),
 		Epoch:    s.held.Epoch(),
 		Peers:    s.entries.Some(maxPeers),
 		Pending:  s.entries.Pending(to),
--- a/internal/relay/mtrollout/plan.go
+++ b/internal/relay/mtrollout/plan.go
@@ -78,10 +78,10 @@
 	return &Plan{allowed: allowed, pending: map[string][]scheduledLoad{}, namings: map[string]*mtnaming.Naming{}, served: map[string]int64{}}
 }
 
-// Turn sets the engine's turn as computed by an entry. A waiting engine follows the queue,
+// SetTurn sets the engine's turn as computed by an entry. A waiting engine follows the queue,
 // faster or slower than expected, if the entry sees the queue advance; an entry with
 // little recent state would defer it forever.
-func (p *Plan) Turn(turn *fleetv1.Turn) {
+func (p *Plan) SetTurn(turn *fleetv1.Turn) {
 	p.turn = turn
 	p.fullAt = time.Time{}
 	if turn.GetFull() {
@@ -165,9 +165,9 @@
 	return min(maxLead, max(minLead, p.turn.GetLead().AsDuration()))
 }
 
-// Name records a model's newest weights and their ages. It reports whether they are
+// AddWeights records a model's newest weights and their ages. It reports whether they are
 // new.
-func (p *Plan) Name(weights *fleetv1.Weights) bool {
+func (p *Plan) AddWeights(weights *fleetv1.Weights) bool {
 	model := weights.GetModel()
 	if p.namings[model] == nil {
 		p.namings[model] = mtnaming.New(p.allowed)
@@ -233,8 +233,8 @@
 	return list[len(list)-1].weights
 }
 
-// See records which weights the engine serves, and whether it loads.
-func (p *Plan) See(report *fleetv1.Report) {
+// Observe records which weights the engine serves, and whether it loads.
+func (p *Plan) Observe(report *fleetv1.Report) {
 	var versions int64
 	for _, m := range report.GetModels() {
 		versions += m.GetVersion()
@@ -246,8 +246,8 @@
 // Load returns the last observed load of weights.
 func (p *Plan) Load() *fleetv1.Load { return p.load.toProto() }
 
-// Named returns the newest weights of all models, with their ages.
-func (p *Plan) Named() []*fleetv1.Weights {
+// Published returns the newest weights of all models, with their ages.
+func (p *Plan) Published() []*fleetv1.Weights {
 	var list []*fleetv1.Weights
 	for _, naming := range p.namings {
 		list = append(list, naming.Snapshot())
@@ -279,9 +279,9 @@
 	return now.Sub(p.fullAt) > fullTTL || now.After(deferredUntil.Add(p.spreadOffset()))
 }
 
-// Until returns the time until the lead of the next scheduled load begins: 0 if it has
+// UntilDue returns the time until the lead of the next scheduled load begins: 0 if it has
 // begun, negative if no load is scheduled.
-func (p *Plan) Until(report *fleetv1.Report) time.Duration {
+func (p *Plan) UntilDue(report *fleetv1.Report) time.Duration {
 	d, _, ok := p.nextLoad(report)
 	if !ok {
 		return -1
@@ -325,9 +325,9 @@
 // Refused records that the engine refused the order.
 func (p *Plan) Refused() { p.blockedUntil = time.Now().Add(refusedDelay) }
 
-// Renamed records that the engine has a new id: an order that it refused under the previous
+// IDChanged records that the engine has a new id: an order that it refused under the previous
 // id may be sent again at once.
-func (p *Plan) Renamed() { p.blockedUntil = time.Time{} }
+func (p *Plan) IDChanged() { p.blockedUntil = time.Time{} }
 
 // nextLoad returns the scheduled load of the first model with outdated weights, and until
 // when it may be deferred.
--- a/internal/relay/mtrollout/plan_test.go
+++ b/internal/relay/mtrollout/plan_test.go
@@ -40,7 +40,7 @@
 // planWithTurn returns a plan that has received the engine's turn from an entry.
 func planWithTurn(place uint32) *mtrollout.Plan {
 	plan := mtrollout.New(allowed)
-	plan.Turn(turn(place))
+	plan.SetTurn(turn(place))
 	return plan
 }
 
@@ -59,7 +59,7 @@
 func waitForOrder(plan *mtrollout.Plan, r *fleetv1.Report) (*fleetv1.Swap, time.Duration) {
 	start := time.Now()
 	for time.Since(start) < 20*time.Second {
-		plan.See(r)
+		plan.Observe(r)
 		if swap := plan.Next(r); swap != nil {
 			return swap, time.Since(start)
 		}
@@ -76,12 +76,12 @@
 		g := NewWithT(t)
 		plan := planWithTurn(17)
 		start := time.Now()
-		plan.See(report(1, 0, 1))
+		plan.Observe(report(1, 0, 1))
 		for version := int64(2); version < 5; version++ {
-			plan.Turn(&fleetv1.Turn{Place: 17, Interval: durationpb.New(interval)})
-			plan.Name(weightsOf(version))
+			plan.SetTurn(&fleetv1.Turn{Place: 17, Interval: durationpb.New(interval)})
+			plan.AddWeights(weightsOf(version))
 			time.Sleep(1200 * time.Millisecond)
-			plan.See(report(1, 0, 1))
+			plan.Observe(report(1, 0, 1))
 		}
 		swap, _ := waitForOrder(plan, report(1, 0, 1))
 		g.Expect(swap.GetWeights().GetVersion()).To(Equal(int64(4)), "older versions are skipped")
@@ -95,10 +95,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := planWithTurn(17)
-		plan.Name(weightsOf(2))
-		plan.See(report(2, 1, 1))
+		plan.AddWeights(weightsOf(2))
+		plan.Observe(report(2, 1, 1))
 		time.Sleep(10 * time.Second)
-		plan.Name(weightsOf(3))
+		plan.AddWeights(weightsOf(3))
 		_, took := waitForOrder(plan, report(2, 1, 1))
 		g.Expect(took).To(BeNumerically(">", 3*time.Second))
 	})
@@ -111,11 +111,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := planWithTurn(0)
-		plan.Name(weightsOf(2))
+		plan.AddWeights(weightsOf(2))
 		waitForOrder(plan, report(1, 0, 0))
-		plan.See(loadingReport(1))
-		plan.Turn(turn(17))
-		plan.Name(weightsOf(3))
+		plan.Observe(loadingReport(1))
+		plan.SetTurn(turn(17))
+		plan.AddWeights(weightsOf(3))
 		time.Sleep(time.Second)
 		_, took := waitForOrder(plan, report(2, 1, 0))
 		g.Expect(took).To(BeNumerically(">", 2*time.Second))
@@ -139,11 +139,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			plan := planWithTurn(17)
-			plan.Name(weightsOf(2))
-			plan.See(report(1, 0, 1))
+			plan.AddWeights(weightsOf(2))
+			plan.Observe(report(1, 0, 1))
 			updated := turn(c.place)
 			updated.Live = c.live
-			plan.Turn(updated)
+			plan.SetTurn(updated)
 			_, took := waitForOrder(plan, report(1, 0, 1))
 			g.Expect(took).To(BeNumerically(">=", c.least))
 			g.Expect(took).To(BeNumerically("<=", c.most))
@@ -158,14 +158,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			plan := planWithTurn(0)
-			plan.Name(weightsOf(2))
-			plan.Turn(fullTurn(0))
+			plan.AddWeights(weightsOf(2))
+			plan.SetTurn(fullTurn(0))
 			start := time.Now()
 			r := report(1, 0, 1)
 			for plan.Next(r) == nil {
-				plan.See(r)
+				plan.Observe(r)
 				if time.Since(start) < fullFor {
-					plan.Turn(fullTurn(0))
+					plan.SetTurn(fullTurn(0))
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -188,15 +188,15 @@
 		var plans []*mtrollout.Plan
 		for place := range queue {
 			plan := mtrollout.New(allowed)
-			plan.Turn(fullTurnAt(place))
-			plan.Name(weightsOf(2))
+			plan.SetTurn(fullTurnAt(place))
+			plan.AddWeights(weightsOf(2))
 			plans = append(plans, plan)
 		}
 		start := time.Now()
 		for range 1000 {
 			for place, plan := range plans {
-				plan.Turn(fullTurnAt(place))
-				plan.See(report(1, 0, 1))
+				plan.SetTurn(fullTurnAt(place))
+				plan.Observe(report(1, 0, 1))
 				if started[place] == 0 && plan.Ordering(report(1, 0, 1)) {
 					started[place] = time.Since(start)
 				}
@@ -239,9 +239,9 @@
 			plan := mtrollout.New(allowed)
 			notLive := turn(place)
 			notLive.Live, notLive.Queue = false, queue
-			plan.Turn(notLive)
-			plan.Name(weightsOf(2))
-			wait := plan.Until(report(1, 0, 0))
+			plan.SetTurn(notLive)
+			plan.AddWeights(weightsOf(2))
+			wait := plan.UntilDue(report(1, 0, 0))
 			if place > 0 {
 				g.Expect(wait-last).To(BeNumerically(">=", 50*time.Millisecond), "place %d", place)
 			}
@@ -257,8 +257,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		idle, busy := planWithTurn(0), planWithTurn(0)
-		idle.Name(weightsOf(2))
-		busy.Name(weightsOf(2))
+		idle.AddWeights(weightsOf(2))
+		busy.AddWeights(weightsOf(2))
 		g.Expect(idle.Ordering(report(1, 0, 0))).To(BeTrue())
 		_, first := waitForOrder(idle, report(1, 0, 0))
 		_, second := waitForOrder(busy, report(1, 0, 2))
@@ -273,13 +273,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		seen, restarted := planWithTurn(0), planWithTurn(0)
-		seen.See(report(1, 0, 0))
+		seen.Observe(report(1, 0, 0))
 		for _, plan := range []*mtrollout.Plan{seen, restarted} {
-			plan.See(loadingReport(1))
+			plan.Observe(loadingReport(1))
 		}
 		time.Sleep(1100 * time.Millisecond)
 		for _, plan := range []*mtrollout.Plan{seen, restarted} {
-			plan.See(report(2, 1, 0))
+			plan.Observe(report(2, 1, 0))
 		}
 		time.Sleep(time.Second)
 		g.Expect(seen.Load().GetTook().AsDuration()).To(Equal(1100 * time.Millisecond))
@@ -295,7 +295,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := planWithTurn(0)
-		plan.Name(weightsOf(2))
+		plan.AddWeights(weightsOf(2))
 		first, _ := waitForOrder(plan, report(1, 4, 0))
 		again, took := waitForOrder(plan, report(1, 4, 0))
 		g.Expect(first.GetExpected()).To(Equal(int64(4)))
@@ -304,10 +304,10 @@
 		g.Expect(took).To(BeNumerically(">=", 500*time.Millisecond))
 		g.Expect(plan.Next(loadingReport(5))).To(BeNil())
 		g.Expect(plan.Ordering(loadingReport(5))).To(BeTrue())
-		plan.See(report(2, 5, 0))
+		plan.Observe(report(2, 5, 0))
 		g.Expect(plan.Next(report(2, 5, 0))).To(BeNil())
 		g.Expect(plan.Ordering(report(2, 5, 0))).To(BeFalse())
-		g.Expect(plan.Until(report(2, 5, 0))).To(BeNumerically("<", 0))
+		g.Expect(plan.UntilDue(report(2, 5, 0))).To(BeNumerically("<", 0))
 	})
 }
 
@@ -319,12 +319,12 @@
 		g := NewWithT(t)
 		plan := planWithTurn(0)
 		start := time.Now()
-		plan.Name(weightsOf(2))
+		plan.AddWeights(weightsOf(2))
 		waitForOrder(plan, report(1, 0, 0))
-		plan.See(loadingReport(1))
+		plan.Observe(loadingReport(1))
 		time.Sleep(4 * time.Second)
-		plan.Name(weightsOf(3))
-		plan.Turn(turn(17))
+		plan.AddWeights(weightsOf(3))
+		plan.SetTurn(turn(17))
 		time.Sleep(time.Second)
 		waitForOrder(plan, report(1, 0, 0))
 		g.Expect(time.Since(start)).To(BeNumerically("<", allowed*3/4+400*time.Millisecond))
@@ -336,11 +336,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := planWithTurn(0)
-		plan.Name(weightsOf(2))
+		plan.AddWeights(weightsOf(2))
 		waitForOrder(plan, report(1, 0, 0))
-		plan.See(loadingReport(1))
-		plan.Turn(&fleetv1.Turn{Place: 17, Interval: durationpb.New(interval)})
-		plan.Name(weightsOf(3))
+		plan.Observe(loadingReport(1))
+		plan.SetTurn(&fleetv1.Turn{Place: 17, Interval: durationpb.New(interval)})
+		plan.AddWeights(weightsOf(3))
 		time.Sleep(time.Second)
 		_, took := waitForOrder(plan, report(1, 0, 0))
 		g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
@@ -353,15 +353,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := mtrollout.New(allowed)
-		plan.See(report(1, 0, 0))
+		plan.Observe(report(1, 0, 0))
 		far := turn(20)
 		far.Live = false
-		plan.Turn(far)
+		plan.SetTurn(far)
 		weights := weightsOf(2)
-		plan.Name(mtnaming.FromListing(weights))
+		plan.AddWeights(mtnaming.FromListing(weights))
 		weights.Ages = []*fleetv1.Age{{Version: 2, Age: durationpb.New(6 * time.Second), Certain: true}}
-		plan.Turn(far)
-		plan.Name(weights)
+		plan.SetTurn(far)
+		plan.AddWeights(weights)
 		_, took := waitForOrder(plan, report(1, 0, 0))
 		g.Expect(took).To(BeNumerically("<", 2*time.Second))
 	})
--- a/internal/relay/mtstandby/standby.go
+++ b/internal/relay/mtstandby/standby.go
@@ -77,13 +77,13 @@
 	for ctx.Err() == nil {
 		// The turn goes first: new weights are due by it.
 		if turn := s.host.Turn(s.target); turn != nil {
-			s.plan.Turn(turn)
+			s.plan.SetTurn(turn)
 		}
 		for _, weights := range s.host.Named() {
-			s.plan.Name(weights)
+			s.plan.AddWeights(weights)
 		}
 		tick := idleTick
-		if s.plan.Until(s.report) >= 0 && s.host.May(s.target) {
+		if s.plan.UntilDue(s.report) >= 0 && s.host.May(s.target) {
 			s.look(ctx)
 			s.order(ctx)
 			tick = s.tick()
@@ -100,7 +100,7 @@
 	if s.plan.Ordering(s.report) {
 		return orderTick
 	}
-	return min(dueTick, max(orderTick, s.plan.Until(s.report)))
+	return min(dueTick, max(orderTick, s.plan.UntilDue(s.report)))
 }
 
 // look reads the engine's report and tells the entries of what has changed.
@@ -120,7 +120,7 @@
 	before := s.report
 	back := s.failed >= lostAfter
 	s.report, s.failed = report, 0
-	s.plan.See(report)
+	s.plan.Observe(report)
 	if before.GetBusy() && !report.GetBusy() {
 		s.trail.Say(mtkind.WeightsInPlace, zap.String("target", s.target), zap.Int64("born", report.GetBorn()))
 	}
@@ -139,7 +139,7 @@
 		Report:   s.report,
 		Answers:  s.failed < lostAfter,
 		Ordering: s.ordering,
-		Named:    s.plan.Named(),
+		Named:    s.plan.Published(),
 		Load:     s.plan.Load(),
 		Standby:  true,
 	}, news)
--- a/internal/relay/mtturns/rollout_test.go
+++ b/internal/relay/mtturns/rollout_test.go
@@ -162,7 +162,7 @@
 	}
 	report := e.report()
 	before := e.plan.Ordering(report)
-	e.plan.See(report)
+	e.plan.Observe(report)
 	if !e.plan.Ordering(report) {
 		e.runsEnd = time.Now().Add(100 * time.Millisecond)
 	}
@@ -170,7 +170,7 @@
 		e.busy, e.target, e.remaining = true, swap.GetWeights().GetVersion(), f.load
 		e.orders++
 		e.plan.Accepted()
-		e.plan.See(e.report())
+		e.plan.Observe(e.report())
 	}
 	if after := e.plan.Ordering(e.report()); after != before || e.busy {
 		for _, observer := range f.entries {
@@ -200,14 +200,14 @@
 		turns.Put(id(i), v.answers && v.version < observer.version, v.unavailable, v.load, time.Since(v.at))
 	}
 	turns.Arrange(hashByID)
-	observer.saturation = turns.Knee()
+	observer.saturation = turns.Saturation()
 	for i, e := range f.engines {
 		if f.dropped() {
 			continue
 		}
 		// The sidecar of an engine that is down still runs, receives and replies.
-		e.plan.Turn(turns.Of(id(i)))
-		e.plan.Name(&fleetv1.Weights{Model: "m", Version: observer.version, Revision: observer.version})
+		e.plan.SetTurn(turns.Of(id(i)))
+		e.plan.AddWeights(&fleetv1.Weights{Model: "m", Version: observer.version, Revision: observer.version})
 		f.deliver(observer, i, e)
 	}
 }
--- a/internal/relay/mtturns/turns.go
+++ b/internal/relay/mtturns/turns.go
@@ -175,11 +175,11 @@
 	t.estimate()
 }
 
-// AtOnce returns the number of engines that load at once.
-func (t *Turns) AtOnce() int { return t.concurrency }
+// Concurrency returns the number of engines that load at once.
+func (t *Turns) Concurrency() int { return t.concurrency }
 
-// Took returns the estimated duration of a load.
-func (t *Turns) Took() time.Duration { return t.loadTime }
+// LoadTime returns the estimated duration of a load.
+func (t *Turns) LoadTime() time.Duration { return t.loadTime }
 
 // interval returns the time from one engine's turn to the next, derived from the loads.
 // Where loads are short compared with the time that an engine waits for its runs, most
@@ -266,9 +266,9 @@
 	return min(t.inProgress[len(t.inProgress)-2]-t.lead, maxLoadTime)
 }
 
-// Knee returns the number of simultaneous loads above which loads were observed to slow
+// Saturation returns the number of simultaneous loads above which loads were observed to slow
 // down; 0 if none was.
-func (t *Turns) Knee() int { return t.saturation }
+func (t *Turns) Saturation() int { return t.saturation }
 
 // requiredConcurrency returns how many engines must load at once for the last to meet the
 // deadline.
--- a/internal/relay/mtturns/turns_test.go
+++ b/internal/relay/mtturns/turns_test.go
@@ -47,14 +47,14 @@
 func TestSlowedLoadsLimitConcurrency(t *testing.T) {
 	g := NewWithT(t)
 	turns := queueAfterRollout(18, 6, 2200*time.Millisecond, 1100*time.Millisecond)
-	g.Expect(turns.AtOnce()).To(Equal(3))
-	g.Expect(turns.Took()).To(Equal(1100 * time.Millisecond))
+	g.Expect(turns.Concurrency()).To(Equal(3))
+	g.Expect(turns.LoadTime()).To(Equal(1100 * time.Millisecond))
 	g.Expect(turns.Of(id(5)).GetInterval().AsDuration()).To(BeNumerically("~", 367*time.Millisecond, time.Millisecond))
 }
 
 // Loads that were not slowed down must not reduce the concurrency.
 func TestLoadsWithoutSlowdownKeepConcurrency(t *testing.T) {
-	NewWithT(t).Expect(queueAfterRollout(18, 3, 550*time.Millisecond, 550*time.Millisecond).AtOnce()).To(Equal(3))
+	NewWithT(t).Expect(queueAfterRollout(18, 3, 550*time.Millisecond, 550*time.Millisecond).Concurrency()).To(Equal(3))
 }
 
 // Guards against a queue that waits behind first loads that take longer than the default load
@@ -73,8 +73,8 @@
 		}
 	}
 	turns.Arrange(hashByID)
-	g.Expect(turns.Took()).To(Equal(1600 * time.Millisecond))
-	g.Expect(turns.AtOnce()).To(Equal(6))
+	g.Expect(turns.LoadTime()).To(Equal(1600 * time.Millisecond))
+	g.Expect(turns.Concurrency()).To(Equal(6))
 }
 
 // Guards against engines that are deferred again and again by an entry whose heartbeats are
@@ -111,8 +111,8 @@
 		turns.Put(id(i), true, false, loadReport(time.Duration(40-i)*time.Second, time.Duration(38-i)*time.Second, took, took), 0)
 	}
 	turns.Arrange(hashByID)
-	g.Expect(turns.Took()).To(Equal(1100 * time.Millisecond))
-	g.Expect(turns.AtOnce()).To(Equal(3))
+	g.Expect(turns.LoadTime()).To(Equal(1100 * time.Millisecond))
+	g.Expect(turns.Concurrency()).To(Equal(3))
 }
 
 // Weights are announced while some engines still wait for the previous ones. These come
@@ -188,7 +188,7 @@
 			turns.Put(id(i), true, false, loadReport(ended+time.Second, ended, 300*time.Millisecond, 300*time.Millisecond), 0)
 		}
 		turns.Arrange(hashByID)
-		g.Expect(turns.AtOnce()).To(BeNumerically("<=", 6), allowed.String())
+		g.Expect(turns.Concurrency()).To(BeNumerically("<=", 6), allowed.String())
 		g.Expect(turns.Of(id(0)).GetLead().AsDuration()).To(BeNumerically("<=", allowed/6))
 	}
 }
@@ -199,7 +199,7 @@
 		turns.Put(id(i), true, false, &fleetv1.Load{}, 0)
 	}
 	turns.Arrange(hashByID)
-	fmt.Println(turns.AtOnce(), "at once,", turns.Took(), "each")
+	fmt.Println(turns.Concurrency(), "at once,", turns.LoadTime(), "each")
 	// Output: 4 at once, 1s each
 }
 
