--- a/internal/admission/mtshed/shed.go
+++ b/internal/admission/mtshed/shed.go
@@ -1,11 +1,10 @@
-// Package mtshed decides whom to send away while a service is overloaded.
+// Package mtshed decides which requests to reject while a service is overloaded.
 //
-// The load it answers is more work than the engines can do for some seconds: a
-// quarter of them is gone, or every cache is empty at once. Without it every
-// request waits in the same queue and every answer is late; with it the less
-// urgent are told at once when to come back, and the others are answered in
-// time. The estimate is that of the best target, so nobody is sent away while
-// some target would be in time.
+// It handles overloads that last some seconds: a quarter of the engines is gone, or every
+// cache is empty at once. Without load shedding every request waits in the same queue and
+// every answer is late. With it, less urgent requests are rejected at once with a retry
+// delay, and the others are answered in time. The estimate is that of the best target, so
+// no request is rejected while some target could answer it in time.
 package mtshed
 
 import (
@@ -13,62 +12,64 @@
 	"time"
 )
 
-// Shares of a route's aim up to which the estimated time to the first byte may
-// go: the urgent are kept somewhat beyond it, the others leave a margin, as what
-// is under way elsewhere is known a little late.
+// Limits of the estimated time to the first byte, as fractions of the route's aim. Urgent
+// requests may exceed the aim somewhat. The others leave a margin, as load from elsewhere is
+// known with a short delay.
 const (
-	urgentShare = 1.4
-	otherShare  = 0.8
+	urgentAimFraction = 1.4
+	otherAimFraction  = 0.8
 )
 
-// waitShare is the least part of the aim that must be waiting behind others: a
-// request that is long by itself is not sent away from an idle target.
-const waitShare = 0.25
+// minWaitFraction is the fraction of the aim that must be queueing time for a request to be
+// rejected: a request that is long by itself is not rejected by an idle target.
+const minWaitFraction = 0.25
 
-// patience is the part of a route's time that a first attempt still has: a
-// request with less has been sent away before and is taken in.
-const patience = 0.85
+// firstAttemptFraction is the fraction of the route's timeout that is still left at a first
+// attempt. A request with less left has been rejected before, so it is admitted if it can be
+// answered before its deadline.
+const firstAttemptFraction = 0.85
 
-// leastPause is the least time after which a caller comes back: queues move by
-// some prompts in it.
-const leastPause = 200 * time.Millisecond
+// minRetryDelay is the minimum retry delay before jitter: queues advance by some prompts in
+// that time.
+const minRetryDelay = 200 * time.Millisecond
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on one request.
 type Verdict struct {
-	refused bool
-	again   time.Duration
+	refused    bool
+	retryAfter time.Duration
 }
 
-// Refused says that the request is sent away.
+// Refused reports whether the request is rejected.
 func (v Verdict) Refused() bool { return v.refused }
 
-// Again is when its caller should come back.
-func (v Verdict) Again() time.Duration { return v.again }
+// Again returns the delay after which the caller should retry.
+func (v Verdict) Again() time.Duration { return v.retryAfter }
 
-// Decide judges a request of a rank, 0 the most urgent, whose best target would
-// begin its answer after estimate, wait of which is behind others. left is the
-// caller's time, whole the route's.
-func Decide(rank int32, estimate, wait, aim, left, whole time.Duration) Verdict {
+// Decide decides whether to reject a request. Rank 0 is the most urgent. estimate is the time
+// to the first byte on the best target, of which wait is queueing time. left is the time until
+// the caller's deadline, and timeout is the route's.
+func Decide(rank int32, estimate, wait, aim, left, timeout time.Duration) Verdict {
 	if estimate > left {
-		// It can't be answered in its time: waiting would help nobody.
-		return away(estimate, aim)
+		// The request can't be answered before its deadline, so queueing it is useless.
+		return reject(estimate, aim)
 	}
-	if aim <= 0 || float64(left) < patience*float64(whole) {
+	if aim <= 0 || float64(left) < firstAttemptFraction*float64(timeout) {
 		return Verdict{}
 	}
-	share := otherShare
+	limit := otherAimFraction
 	if rank == 0 {
-		share = urgentShare
+		limit = urgentAimFraction
 	}
-	if float64(estimate) <= share*float64(aim) || float64(wait) < waitShare*float64(aim) {
+	if float64(estimate) <= limit*float64(aim) || float64(wait) < minWaitFraction*float64(aim) {
 		return Verdict{}
 	}
-	return away(estimate, aim)
+	return reject(estimate, aim)
 }
 
-// away lets callers return when the queue should be down to the aim, spread by
-// half, so that those who were sent away together do not return together.
-func away(estimate, aim time.Duration) Verdict {
-	pause := max(leastPause, estimate-aim/2)
-	return Verdict{refused: true, again: pause/2 + rand.N(pause)}
+// reject returns a rejection with a retry delay after which the queue should be down to the
+// aim. The delay is jittered by half either way, so that callers rejected together do not
+// retry together.
+func reject(estimate, aim time.Duration) Verdict {
+	delay := max(minRetryDelay, estimate-aim/2)
+	return Verdict{refused: true, retryAfter: delay/2 + rand.N(delay)}
 }
--- a/internal/admission/mtshed/shed_test.go
+++ b/internal/admission/mtshed/shed_test.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	aim   = 800 * time.Millisecond
-	whole = 6 * time.Second
+	aim     = 800 * time.Millisecond
+	timeout = 6 * time.Second
 )
 
 func decide(rank int32, estimate, wait, left time.Duration) mtshed.Verdict {
-	return mtshed.Decide(rank, estimate, wait, aim, left, whole)
+	return mtshed.Decide(rank, estimate, wait, aim, left, timeout)
 }
 
-// A burst: queues grow beyond the aim. The less urgent are sent away first, the
-// urgent later, and those who come back are taken in.
+// Queues grow beyond the aim in a burst. Less urgent requests are rejected first and urgent
+// ones later, and retried requests are admitted.
 func TestOverload(t *testing.T) {
 	g := NewWithT(t)
 	for _, c := range []struct {
@@ -29,10 +29,10 @@
 		left     time.Duration
 		refused  bool
 	}{
-		{1, 500 * time.Millisecond, whole, false},
-		{1, 900 * time.Millisecond, whole, true},
-		{0, 900 * time.Millisecond, whole, false},
-		{0, 1500 * time.Millisecond, whole, true},
+		{1, 500 * time.Millisecond, timeout, false},
+		{1, 900 * time.Millisecond, timeout, true},
+		{0, 900 * time.Millisecond, timeout, false},
+		{0, 1500 * time.Millisecond, timeout, true},
 		{1, 1500 * time.Millisecond, 4 * time.Second, false},
 		{0, 1500 * time.Millisecond, time.Second, true},
 	} {
@@ -41,29 +41,29 @@
 	}
 }
 
-// A prompt that is long by itself meets an idle target: it is served, late.
+// A prompt that is long by itself is served late by an idle target, not rejected.
 func TestLongPromptOnAnIdleTarget(t *testing.T) {
-	NewWithT(t).Expect(decide(1, 1500*time.Millisecond, 0, whole).Refused()).To(BeFalse())
+	NewWithT(t).Expect(decide(1, 1500*time.Millisecond, 0, timeout).Refused()).To(BeFalse())
 }
 
-// Those who are sent away together do not come back together, nor before the
-// queue can have moved, nor so late that their time is over.
-func TestReturnsAreSpread(t *testing.T) {
+// Callers that are rejected together do not retry together, nor before the queue can have
+// advanced, nor after their deadline.
+func TestRetriesAreSpread(t *testing.T) {
 	g := NewWithT(t)
-	first, last := whole, time.Duration(0)
+	first, last := timeout, time.Duration(0)
 	for range 200 {
-		again := decide(1, 1200*time.Millisecond, 900*time.Millisecond, whole).Again()
-		first, last = min(first, again), max(last, again)
+		retryAfter := decide(1, 1200*time.Millisecond, 900*time.Millisecond, timeout).Again()
+		first, last = min(first, retryAfter), max(last, retryAfter)
 	}
 	g.Expect(first).To(BeNumerically(">=", 100*time.Millisecond))
-	g.Expect(last).To(BeNumerically("<", whole/3))
+	g.Expect(last).To(BeNumerically("<", timeout/3))
 	g.Expect(last - first).To(BeNumerically(">", 400*time.Millisecond))
 }
 
-// An overloaded service, in steps of 10 ms: work for 1.5 engines comes to one,
-// for eight seconds. Without shedding every answer is late from the second
-// second on; with it most of those that are taken in are in time.
-func TestMostAnswersAreInTimeUnderOverload(t *testing.T) {
+// Simulates eight seconds of overload in steps of 10 ms: one engine receives work for 1.5.
+// Without shedding every answer is late from the second second on. With it, most of the
+// admitted requests are answered in time.
+func TestMostAnswersAreInTimeDuringOverload(t *testing.T) {
 	g := NewWithT(t)
 	inTime := func(shed bool) int {
 		var queue time.Duration
@@ -73,14 +73,14 @@
 			if step%10 != 0 {
 				continue
 			}
-			const own = 150 * time.Millisecond
-			if shed && decide(1, queue+own, queue, whole).Refused() {
+			const serviceTime = 150 * time.Millisecond
+			if shed && decide(1, queue+serviceTime, queue, timeout).Refused() {
 				continue
 			}
-			if queue+own <= aim {
+			if queue+serviceTime <= aim {
 				count++
 			}
-			queue += own
+			queue += serviceTime
 		}
 		return count
 	}
