--- a/internal/admission/mtstart/start.go
+++ b/internal/admission/mtstart/start.go
@@ -1,9 +1,8 @@
 // Package mtstart decides how long a request waits at an entry that has just started.
 //
-// The pattern it answers: all entries start anew at the same moment while callers ask.
-// Each needs up to a second or two for its configuration and its first targets. A caller
-// that is refused meanwhile comes back once, to another entry that starts too, and is
-// refused for good.
+// It handles a simultaneous restart of all entries under load. Each entry needs up to a second
+// or two to receive its configuration and its first targets. A caller that is refused in that
+// time retries once, reaches another entry that is still starting, and fails.
 package mtstart
 
 import (
@@ -13,68 +12,70 @@
 )
 
 const (
-	// usual is how long a start takes at most where the store answers: beyond it, what is
-	// missing may stay away for long, and callers are told so at once.
-	usual = 1500 * time.Millisecond
-	// longest bounds one request's wait: a caller whose request is not read within a second
-	// gives the entry up.
-	longest = 900 * time.Millisecond
-	// part is the part of a caller's time that the wait may take: the rest is for coming
-	// back.
-	part = 4
+	// maxStartTime is the longest that a start takes while the store answers. After it, the
+	// missing state may take long to arrive, so requests no longer wait.
+	maxStartTime = 1500 * time.Millisecond
+	// maxWait bounds the wait of one request: a caller whose request is not read within a
+	// second gives up on the entry.
+	maxWait = 900 * time.Millisecond
+	// waitDivisor limits the wait to a fraction of the caller's remaining time: the rest is
+	// left for a retry.
+	waitDivisor = 4
 )
 
-// Start is the start of one process. It is safe for concurrent use.
+// Start tracks the start-up of one process. It is safe for concurrent use.
 type Start struct {
-	known func() bool
-	until time.Time
+	ready    func() bool
+	deadline time.Time
 
-	mu   sync.Mutex
-	told chan struct{}
+	mu      sync.Mutex
+	changed chan struct{}
 }
 
-// New returns a start that begins now; known says that enough is known to serve.
-func New(known func() bool) *Start {
-	return &Start{known: known, until: time.Now().Add(usual), told: make(chan struct{})}
+// New returns a start that begins now. ready reports whether the process knows enough to
+// serve requests.
+func New(ready func() bool) *Start {
+	return &Start{ready: ready, deadline: time.Now().Add(maxStartTime), changed: make(chan struct{})}
 }
 
-// Tell lets those that wait look again; nobody does once the start is over.
+// Tell makes waiting requests check readiness again. It does nothing once the start-up period
+// is over, as no request waits any more.
 func (s *Start) Tell() {
-	if time.Now().After(s.until) {
+	if time.Now().After(s.deadline) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.told)
-	s.told = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// next is closed at the next word.
-func (s *Start) next() <-chan struct{} {
+// nextChange returns a channel that is closed at the next notification.
+func (s *Start) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.told
+	return s.changed
 }
 
-// Await returns when enough is known, or when a caller that has so much time left has
-// waited long enough.
+// Await returns when the process is ready, when ctx ends, or when the wait limit is reached.
+// left is the time until the caller's deadline.
 func (s *Start) Await(ctx context.Context, left time.Duration) {
-	wait := min(time.Until(s.until), longest, left/part)
-	if wait <= 0 || s.known() {
+	wait := min(time.Until(s.deadline), maxWait, left/waitDivisor)
+	if wait <= 0 || s.ready() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		// Before the look, so that no word is missed in between.
-		next := s.next()
-		if s.known() {
+		// Get the channel before the check, so that no notification in between is missed.
+		changed := s.nextChange()
+		if s.ready() {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-next:
+		case <-changed:
 		}
 	}
 }
--- a/internal/admission/mtstart/start_test.go
+++ b/internal/admission/mtstart/start_test.go
@@ -14,22 +14,21 @@
 	"github.com/mustardtide/mustardtide/internal/admission/mtstart"
 )
 
-// entry is one that starts.
+// entry is a simulated entry that is starting.
 type entry struct {
-	start *mtstart.Start
-	begun time.Time
-	known atomic.Bool
+	start   *mtstart.Start
+	started time.Time
+	ready   atomic.Bool
 }
 
-// starting returns entries that have all started now, and know enough to serve after
-// 0.1 to 1.3 s.
-func starting(count int, random *rand.Rand) []*entry {
+// startEntries returns entries that all start now and become ready after 0.1 to 1.3 s.
+func startEntries(count int, random *rand.Rand) []*entry {
 	var list []*entry
 	for range count {
-		e := &entry{begun: time.Now()}
-		e.start = mtstart.New(e.known.Load)
+		e := &entry{started: time.Now()}
+		e.start = mtstart.New(e.ready.Load)
 		time.AfterFunc(100*time.Millisecond+time.Duration(random.IntN(1200))*time.Millisecond, func() {
-			e.known.Store(true)
+			e.ready.Store(true)
 			e.start.Tell()
 		})
 		list = append(list, e)
@@ -37,39 +36,39 @@
 	return list
 }
 
-// ask is a caller that asks one entry, and where it is refused another once more. It
-// says whether it is served.
-func ask(entries []*entry, random func(int) int, waits bool, deadline time.Duration) bool {
-	until := time.Now().Add(deadline)
+// request simulates a caller that tries one entry and, if refused, retries once at a random
+// entry. It reports whether the caller was served.
+func request(entries []*entry, random func(int) int, waits bool, deadline time.Duration) bool {
+	expires := time.Now().Add(deadline)
 	for range 2 {
 		e := entries[random(len(entries))]
 		if waits {
-			e.start.Await(context.Background(), time.Until(until))
+			e.start.Await(context.Background(), time.Until(expires))
 		}
-		if e.known.Load() {
+		if e.ready.Load() {
 			return true
 		}
-		time.Sleep(min(mtreturn.After(time.Since(e.begun)), time.Until(until)/3))
+		time.Sleep(min(mtreturn.After(time.Since(e.started)), time.Until(expires)/3))
 	}
 	return false
 }
 
-// Failure: all entries start anew at once, and the callers of the first second are refused
-// by two of them, one after the other.
-func TestCallersOfAStartOfAllAreServed(t *testing.T) {
+// Guards against failed requests after a simultaneous restart of all entries: without a wait,
+// callers of the first second are refused by two entries in a row.
+func TestCallersAreServedWhenAllEntriesRestart(t *testing.T) {
 	const callers = 300
 	for _, deadline := range []time.Duration{6 * time.Second, 15 * time.Second} {
 		refused := map[bool]int{}
 		for _, waits := range []bool{false, true} {
 			synctest.Test(t, func(*testing.T) {
 				random := rand.New(rand.NewPCG(1, 2))
-				entries := starting(100, random)
+				entries := startEntries(100, random)
 				served := make(chan bool, callers)
 				for range callers {
-					at, seed := time.Duration(random.IntN(1000))*time.Millisecond, random.Uint64()
+					delay, seed := time.Duration(random.IntN(1000))*time.Millisecond, random.Uint64()
 					go func() {
-						time.Sleep(at)
-						served <- ask(entries, rand.New(rand.NewPCG(seed, 0)).IntN, waits, deadline)
+						time.Sleep(delay)
+						served <- request(entries, rand.New(rand.NewPCG(seed, 0)).IntN, waits, deadline)
 					}()
 				}
 				for range callers {
@@ -85,18 +84,18 @@
 	}
 }
 
-func never() bool { return false }
+func neverReady() bool { return false }
 
-// What is missing does not come: nobody waits for longer than a start takes, or for more
-// than a quarter of the time left.
+// If the process never becomes ready, no request waits beyond the start-up period, or for more
+// than a quarter of its remaining time.
 func TestWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		start := mtstart.New(never)
+		start := mtstart.New(neverReady)
 		waited := func(left time.Duration) time.Duration {
-			begun := time.Now()
+			started := time.Now()
 			start.Await(context.Background(), left)
-			return time.Since(begun)
+			return time.Since(started)
 		}
 		g.Expect(waited(time.Second)).To(Equal(250 * time.Millisecond))
 		g.Expect(waited(time.Minute)).To(Equal(900 * time.Millisecond))
@@ -105,13 +104,13 @@
 	})
 }
 
-// A caller that leaves does not wait on.
-func TestCallerLeavesWhileItWaits(t *testing.T) {
+// The wait ends when the caller disconnects.
+func TestWaitEndsWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		started := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		mtstart.New(never).Await(ctx, time.Minute)
-		NewWithT(t).Expect(time.Since(begun)).To(Equal(100 * time.Millisecond))
+		mtstart.New(neverReady).Await(ctx, time.Minute)
+		NewWithT(t).Expect(time.Since(started)).To(Equal(100 * time.Millisecond))
 	})
 }
