--- a/internal/admission/mtretry/budget.go
+++ b/internal/admission/mtretry/budget.go
@@ -1,8 +1,8 @@
-// Package mtretry bounds how often requests are given to another target.
+// Package mtretry limits how often requests are retried at another target.
 //
-// The load it answers is a service that fails or refuses much: without a budget
-// every request is tried as often as the rules allow, just when there is least
-// to spare, and an overload of 2 becomes one of 6.
+// It handles a service that fails or refuses many requests. Without a retry budget every
+// request is tried as often as the rules allow, just when capacity is scarcest, and an
+// overload by a factor of 2 becomes one by a factor of 6.
 package mtretry
 
 import (
@@ -16,52 +16,53 @@
 )
 
 const (
-	// defaultShare is the retries per successful request of a service whose
-	// settings give none: a tenth adds at most a tenth of load, and one target
-	// of ten that fails is made up for.
-	defaultShare = 0.1
-	// floor is the retries a second that a service has without successes, so
-	// that one with a few requests a minute is retried at all.
-	floor = 1.0
-	// most is what a budget saves up: at a share of the peak of 60 requests a
-	// second and entry, the retries of eight seconds, the time in which a crashed
-	// target is found and its batch is tried elsewhere.
-	most = 50
+	// defaultRetryRatio is the number of retries per successful request for a service that
+	// configures none. A tenth adds at most a tenth of load and makes up for the failure of
+	// one target in ten.
+	defaultRetryRatio = 0.1
+	// minRetriesPerSecond is the rate that the budget gains without successes, so that a
+	// service with a few requests a minute is retried at all.
+	minRetriesPerSecond = 1.0
+	// maxTokens caps the budget. At the default ratio and a peak of 60 requests a second per
+	// entry, it covers the retries of eight seconds, the time in which a crashed target is
+	// detected and its batch is retried elsewhere.
+	maxTokens = 50
 )
 
-// pauses before a retry of what may have run; the first gives a crash a moment
-// to be seen by all, the last stays below a second.
+// Backoff, before jitter, for requests that may have run. The initial one gives all entries
+// time to notice a crash, and the maximum stays below a second.
 const (
-	firstPause = 50 * time.Millisecond
-	lastPause  = 800 * time.Millisecond
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 800 * time.Millisecond
 )
 
-// Budget is one service's at one entry. It is safe for concurrent use.
+// Budget is the retry budget of one service at one entry, a token bucket. It is safe for
+// concurrent use.
 type Budget struct {
-	mu    sync.Mutex
-	saved float64
-	since time.Time
+	mu       sync.Mutex
+	tokens   float64
+	refilled time.Time
 }
 
-// New returns a full budget: a restarted entry meets the failures of the moment.
-func New() *Budget { return &Budget{saved: most, since: time.Now()} }
+// New returns a full budget, as a restarted entry may face failures that are already under way.
+func New() *Budget { return &Budget{tokens: maxTokens, refilled: time.Now()} }
 
-// Succeeded adds what one successful request earns; a share of zero or below
-// stands for the default.
-func (b *Budget) Succeeded(share float64) {
-	if share <= 0 {
-		share = defaultShare
+// Succeeded adds the retries earned by one successful request. A ratio of zero or below stands
+// for the default.
+func (b *Budget) Succeeded(ratio float64) {
+	if ratio <= 0 {
+		ratio = defaultRetryRatio
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(most, b.saved+share)
+	b.tokens = min(maxTokens, b.tokens+ratio)
 }
 
-// Allow says whether a refused request may go to another target, and takes one
-// retry off the budget where it costs something: where the first target may have
-// worked on it, or where it refused for want of room and the next may as well. A
-// target that is gone or leaving has cost nothing; those tries are bounded by
-// the request's own number.
+// Allow reports whether a refused request may be retried at another target. It charges one
+// retry to the budget if the first target may have worked on the request, or refused it for
+// lack of capacity, as the next target may do too. Retries after a target that is gone or
+// leaving are free: that target did no work, and the number of attempts per request bounds
+// them.
 func (b *Budget) Allow(refusal *mtrefusal.Refusal) bool {
 	if free(refusal) {
 		return true
@@ -69,27 +70,27 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.saved = min(most, b.saved+floor*now.Sub(b.since).Seconds())
-	b.since = now
-	if b.saved < 1 {
+	b.tokens = min(maxTokens, b.tokens+minRetriesPerSecond*now.Sub(b.refilled).Seconds())
+	b.refilled = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
-// Pause is the wait before the given retry, from 1: none where the request
-// provably did not run, and else doubling, each with half of it random, so that
-// a crashed target's batch does not move as one.
+// Pause returns the backoff before the given retry, counted from 1. It is zero if the request
+// provably did not run. Otherwise it doubles with each retry and is jittered by half either
+// way, so that a crashed target's batch does not move all at once.
 func Pause(refusal *mtrefusal.Refusal, retry int) time.Duration {
 	if refusal.Ran() == mustardtidev1.Ran_NO {
 		return 0
 	}
-	pause := firstPause
-	for i := 1; i < retry && pause < lastPause; i++ {
-		pause *= 2
+	backoff := initialBackoff
+	for i := 1; i < retry && backoff < maxBackoff; i++ {
+		backoff *= 2
 	}
-	return pause/2 + rand.N(pause)
+	return backoff/2 + rand.N(backoff)
 }
 
 func free(refusal *mtrefusal.Refusal) bool {
--- a/internal/admission/mtretry/budget_test.go
+++ b/internal/admission/mtretry/budget_test.go
@@ -13,10 +13,9 @@
 	"github.com/mustardtide/mustardtide/internal/observe/mtcode"
 )
 
-// A service is overloaded for a minute: each request is refused by the first
-// target and would be by the next. The entry must not multiply the load, and
-// must still move requests off a target that leaves. Cause: retries answer
-// refusals that have the same cause everywhere.
+// A service is overloaded for a minute, so that each request is refused by the first target
+// and would be by the next. The entry must not multiply the load by retrying refusals that
+// have the same cause everywhere, and must still move requests off a leaving target.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -30,7 +29,7 @@
 			g.Expect(budget.Allow(mtrefusal.New(mtcode.Leaving, ""))).To(BeTrue())
 			time.Sleep(10 * time.Millisecond)
 		}
-		g.Expect(retried).To(BeNumerically("<=", 50+61), "what was saved, and one a second")
+		g.Expect(retried).To(BeNumerically("<=", 50+61), "the saved retries plus one per second")
 		for range 200 {
 			budget.Succeeded(0)
 		}
@@ -40,6 +39,6 @@
 				earned++
 			}
 		}
-		g.Expect(earned).To(BeNumerically("~", 20, 1), "a tenth of the successes, and the floor's rest")
+		g.Expect(earned).To(BeNumerically("~", 20, 1), "a tenth of the successes plus what is left of the minimum rate")
 	})
 }
