--- a/internal/admission/mtrefusal/refusal.go
+++ b/internal/admission/mtrefusal/refusal.go
@@ -1,4 +1,4 @@
-// Package mtrefusal is the answer to a request that gets no result.
+// Package mtrefusal defines the error returned for a request that gets no result.
 package mtrefusal
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/mustardtide/mustardtide/internal/observe/mtcode"
 )
 
-// Refusal is an error that says whether the request ran and when to come
-// back. The zero value is not for use; New makes one.
+// Refusal is an error that records whether the request ran and when to retry. The zero value
+// is not valid; use New.
 type Refusal struct {
-	code   mtcode.Code
-	reason string
-	ran    mustardtidev1.Ran
-	after  time.Duration
-	final  bool
-	target string
+	code       mtcode.Code
+	reason     string
+	ran        mustardtidev1.Ran
+	retryAfter time.Duration
+	final      bool
+	target     string
 }
 
 // New returns a refusal of a request that did not run.
@@ -28,18 +28,18 @@
 	return &Refusal{code: code, reason: reason, ran: mustardtidev1.Ran_NO}
 }
 
-// From takes a refusal out of a message; nil gives nil.
+// From converts a refusal from its wire form; nil gives nil.
 func From(m *mustardtidev1.Refusal) *Refusal {
 	if m == nil {
 		return nil
 	}
 	return &Refusal{
-		code:   mtcode.Code(m.GetCode()),
-		reason: m.GetReason(),
-		ran:    m.GetRan(),
-		after:  m.GetAfter().AsDuration(),
-		final:  m.GetFinal(),
-		target: m.GetTarget(),
+		code:       mtcode.Code(m.GetCode()),
+		reason:     m.GetReason(),
+		ran:        m.GetRan(),
+		retryAfter: m.GetAfter().AsDuration(),
+		final:      m.GetFinal(),
+		target:     m.GetTarget(),
 	}
 }
 
@@ -52,49 +52,49 @@
 	return nil
 }
 
-// After returns a copy that says when to come back.
-func (r Refusal) After(after time.Duration) *Refusal {
-	r.after = after
+// After returns a copy with the delay after which to retry.
+func (r Refusal) After(delay time.Duration) *Refusal {
+	r.retryAfter = delay
 	return &r
 }
 
-// Finally returns a copy that no other target may overrule.
+// Finally returns a copy that forbids trying another target.
 func (r Refusal) Finally() *Refusal {
 	r.final = true
 	return &r
 }
 
-// Having returns a copy that says whether the request ran.
+// Having returns a copy with the given value of whether the request ran.
 func (r Refusal) Having(ran mustardtidev1.Ran) *Refusal {
 	r.ran = ran
 	return &r
 }
 
-// At returns a copy that names the only target that can answer.
+// At returns a copy that names the only target able to answer.
 func (r Refusal) At(target string) *Refusal {
 	r.target = target
 	return &r
 }
 
-// Target is the only one that can answer for the request's key, or empty.
+// Target returns the only target that can answer for the request's key, or an empty string.
 func (r *Refusal) Target() string { return r.target }
 
-// Code is the numbered result.
+// Code returns the numeric result code.
 func (r *Refusal) Code() mtcode.Code { return r.code }
 
-// Reason says what of this request led to the code.
+// Reason describes what in this request led to the code.
 func (r *Refusal) Reason() string { return r.reason }
 
-// Ran says whether the request reached its target's program.
+// Ran returns whether the request reached the program of its target.
 func (r *Refusal) Ran() mustardtidev1.Ran { return r.ran }
 
-// Wait is the time after which a new request may succeed; zero if unknown.
-func (r *Refusal) Wait() time.Duration { return r.after }
+// Wait returns the delay after which a new request may succeed, or zero if unknown.
+func (r *Refusal) Wait() time.Duration { return r.retryAfter }
 
-// Final says that no other target may be tried.
+// Final reports whether trying another target is forbidden.
 func (r *Refusal) Final() bool { return r.final }
 
-// Error gives code and reason.
+// Error returns the code and the reason, or the code's text if there is no reason.
 func (r *Refusal) Error() string {
 	if r.reason == "" {
 		return fmt.Sprintf("%s: %s", r.code, r.code.Text())
@@ -102,7 +102,7 @@
 	return fmt.Sprintf("%s: %s", r.code, r.reason)
 }
 
-// Message gives the refusal's wire form.
+// Message returns the wire form of the refusal; nil gives nil.
 func (r *Refusal) Message() *mustardtidev1.Refusal {
 	if r == nil {
 		return nil
@@ -114,8 +114,8 @@
 		Final:  r.final,
 		Target: r.target,
 	}
-	if r.after > 0 {
-		m.After = durationpb.New(r.after)
+	if r.retryAfter > 0 {
+		m.After = durationpb.New(r.retryAfter)
 	}
 	return m
 }
