--- a/internal/admission/mtclosing/closing.go
+++ b/internal/admission/mtclosing/closing.go
@@ -1,65 +1,66 @@
-// Package mtclosing decides what a stopping entry still takes and when those
-// whom it refuses should come back.
+// Package mtclosing decides which requests an entry still accepts while it shuts down, and when
+// refused callers should retry.
 //
-// The pattern: every entry of a small fleet is told to stop within seconds, and
-// long streams keep each of them up to the end of its grace time. Without this,
-// an entry that waits for its streams has closed its doors: callers whom the
-// balancer still sends find no connection, and no word of when to come back. A
-// fifth of the requests of such a minute failed.
+// It handles the shutdown of every entry of a small fleet within seconds, where long streams
+// keep each entry running until the end of its grace period. If an entry closed its listener
+// while it waits for its streams, callers that the load balancer still sends to it would get
+// no connection and no retry delay. A fifth of the requests of such a minute failed that way.
 package mtclosing
 
 import "time"
 
 const (
-	// margin is what a request must leave between the end of its own time and the
-	// end of the process: its answer still has to reach the caller.
-	margin = 300 * time.Millisecond
-	// readTime and tokenTime bound what a model's answer takes where nothing but
-	// planned work disturbs it: half a second for what waits before it, one for a
-	// load of weights in the middle; and twice the usual pace of a token, as
-	// long prompts are read between them.
-	readTime  = 1500 * time.Millisecond
-	tokenTime = 14 * time.Millisecond
-	// elsewhere is when a caller should come back where other entries take
-	// requests: at once, over a new connection, which leads to them.
-	elsewhere = 10 * time.Millisecond
-	// replaced is how long after an entry's end the balancer sends callers to the
-	// process in its place: 0.3 s to start and to read configuration and targets,
-	// and a second until the balancer's next look.
-	replaced = 1300 * time.Millisecond
+	// deliveryMargin is the least time between the deadline of a request and the end of the
+	// process, as the answer still has to reach the caller.
+	deliveryMargin = 300 * time.Millisecond
+	// maxStartDelay and maxTokenTime bound the duration of a model's answer that only planned
+	// work disturbs. The delay allows half a second for queued requests and one second for a
+	// load of weights in the middle. The time per token is twice the usual one, as long
+	// prompts are processed between tokens.
+	maxStartDelay = 1500 * time.Millisecond
+	maxTokenTime  = 14 * time.Millisecond
+	// reconnectDelay is the retry delay if other entries accept requests: the caller should
+	// retry at once over a new connection, which leads to one of them.
+	reconnectDelay = 10 * time.Millisecond
+	// replacementDelay is the time from the end of an entry until the load balancer sends
+	// callers to its replacement: 0.3 s to start and to read configuration and targets, and
+	// one second until the balancer's next health check.
+	replacementDelay = 1300 * time.Millisecond
 )
 
-// Closing is the stop of one entry. The zero value stands for none.
+// Closing is the shutdown of one entry. The zero value stands for none.
 type Closing struct {
 	end time.Time
 }
 
-// Until returns the stop of an entry that is gone at a time at the latest.
+// Until returns the shutdown of an entry whose process ends at the given time at the latest.
 func Until(end time.Time) Closing { return Closing{end: end} }
 
-// Left is how long the entry runs at most, from now on.
+// Left returns the longest time that the entry still runs.
 func (c Closing) Left(now time.Time) time.Duration { return c.end.Sub(now) }
 
-// Takes says whether a request may still be begun whose time, its caller's or
-// its route's, is over at until: only one that can't be cut by the entry's end.
-func (c Closing) Takes(until time.Time) bool { return until.Before(c.end.Add(-margin)) }
+// Takes reports whether a request with the given deadline, its caller's or its route's, may
+// still start. Requests that the end of the entry could cut off may not.
+func (c Closing) Takes(deadline time.Time) bool { return deadline.Before(c.end.Add(-deliveryMargin)) }
 
-// TakesAnswer is Takes for a model's answer of so many tokens at most.
-func (c Closing) TakesAnswer(now, until time.Time, most int64) bool {
-	return c.Takes(until) || most > 0 && c.Takes(now.Add(readTime+time.Duration(most)*tokenTime))
+// TakesAnswer reports whether a request for a model's answer of at most maxTokens tokens may
+// still start: by its deadline, or because so short an answer ends in time. maxTokens is zero
+// if the length is unknown.
+func (c Closing) TakesAnswer(now, deadline time.Time, maxTokens int64) bool {
+	return c.Takes(deadline) || maxTokens > 0 && c.Takes(now.Add(maxStartDelay+time.Duration(maxTokens)*maxTokenTime))
 }
 
-// Again is when a refused caller should come back. Others are the ends of the
-// other entries, the zero time for one that takes requests.
+// Again returns the delay after which a refused caller should retry. others holds the shutdown
+// times of the other entries, the zero time for one that accepts requests.
 func (c Closing) Again(now time.Time, others []time.Time) time.Duration {
 	first := c.end
 	for _, end := range others {
 		if end.IsZero() {
-			return elsewhere
+			return reconnectDelay
 		}
 		if end.Before(first) {
 			first = end
 		}
 	}
-	return max(elsewhere, first.Add(replaced).Sub(now))
+	return max(reconnectDelay, first.Add(replacementDelay).Sub(now))
 }
