--- a/internal/admission/mtreturn/return.go
+++ b/internal/admission/mtreturn/return.go
@@ -1,10 +1,10 @@
-// Package mtreturn decides when a caller should come back whose request could not
-// be served for want of something that will return.
+// Package mtreturn computes the retry delay for requests that can't be served because a
+// dependency is temporarily missing.
 //
-// The pattern: every entry starts anew while the platform's store is away, and none
-// knows a configuration. Callers ask once or twice more. Told to come back at once,
-// they are refused again, for good, moments before the store answers; told the
-// time that such an outage still takes, most are served.
+// It handles a restart of every entry while the platform's store is down, so that no entry has
+// a configuration. Callers retry once or twice. With an immediate retry they fail for good,
+// moments before the store answers. With a delay that matches the rest of the outage, most are
+// served.
 package mtreturn
 
 import (
@@ -13,28 +13,28 @@
 )
 
 const (
-	// soon is the least time: a start needs some milliseconds to read what it must
-	// know, and a caller that returns sooner finds nothing changed.
-	soon = 300 * time.Millisecond
-	// usual is how long what is wanted takes at most where nothing is wrong: a
-	// hundred times the store's usual answer of 4 ms.
-	usual = 400 * time.Millisecond
-	// silence is the least for which an outage is told: the shortest last some
-	// seconds.
-	silence = 1500 * time.Millisecond
-	// longest bounds it: nobody waits longer for one answer.
-	longest = 10 * time.Second
+	// minDelay is the minimum delay before jitter: a starting process needs some milliseconds
+	// to read its configuration, and a caller that retries sooner finds nothing changed.
+	minDelay = 300 * time.Millisecond
+	// outageThreshold is the longest wait without a fault: a hundred times the store's usual
+	// response time of 4 ms.
+	outageThreshold = 400 * time.Millisecond
+	// minOutageDelay is the minimum delay during an outage, before jitter: the shortest
+	// outages last some seconds.
+	minOutageDelay = 1500 * time.Millisecond
+	// maxDelay bounds the delay before jitter, as no caller waits longer for one answer.
+	maxDelay = 10 * time.Second
 )
 
-// After returns when to come back to a process that has wanted something for so
-// long. Beyond the usual time it is an outage, and one that has lasted some time
-// lasts about as long again. Half of the time is random, so that those who were
-// refused together do not return together.
-func After(wanted time.Duration) time.Duration {
-	least := soon
-	if wanted > usual {
-		least = silence
+// After returns the retry delay for a process that has been missing a dependency for the time
+// waited. Beyond outageThreshold that is an outage, which is expected to last about as long
+// again as it already has. The jitter spans half of the delay, so that callers refused together
+// do not retry together.
+func After(waited time.Duration) time.Duration {
+	lowest := minDelay
+	if waited > outageThreshold {
+		lowest = minOutageDelay
 	}
-	pause := min(longest, max(least, wanted))
-	return pause*3/4 + rand.N(pause/2)
+	delay := min(maxDelay, max(lowest, waited))
+	return delay*3/4 + rand.N(delay/2)
 }
