--- a/internal/admission/mtstreams/streams.go
+++ b/internal/admission/mtstreams/streams.go
@@ -1,9 +1,8 @@
-// Package mtstreams bounds the requests that one client account has under way at
-// an entry.
+// Package mtstreams limits the concurrent requests of one client account at an entry.
 //
-// The load it answers is one account that opens streams and leaves them open:
-// without it that account's connections take up the entry's memory, before fair
-// admission at the targets sees the others at all.
+// It handles an account that opens streams and leaves them open. Without the limit, that
+// account's connections use up the entry's memory before the requests of other accounts reach
+// fair admission at the targets.
 package mtstreams
 
 import (
@@ -18,47 +17,48 @@
 )
 
 const (
-	// spread is the time over which those refused come back. Callers read whole
-	// seconds: over one second all are told the same one.
-	spread = 3 * time.Second
-	// answerTime is about what a stream takes to end.
+	// retryJitter is the time over which refused callers retry. Callers read whole seconds:
+	// with a jitter of one second all would get the same delay.
+	retryJitter = 3 * time.Second
+	// answerTime is the approximate duration of a stream.
 	answerTime = time.Second
 )
 
-// Streams counts the accounts' requests under way at one entry. It is safe for
+// Streams counts the concurrent requests of each account at one entry. It is safe for
 // concurrent use; a decision takes no lock.
 type Streams struct {
-	// accounts are counters by name, which stay.
-	accounts sync.Map
+	// counters holds a counter for each account name. Counters are never removed.
+	counters sync.Map
 }
 
-// New returns a count of nothing.
+// New returns a limiter without requests.
 func New() *Streams { return &Streams{} }
 
-// Enter takes one request of an account. A refusal has taken nothing; otherwise
-// Leave must follow with the same account.
-func (s *Streams) Enter(of *mustardtidev1.Account) *mtrefusal.Refusal {
-	if of.GetStreams() == 0 {
+// Enter counts one request of an account. It returns a refusal, and counts nothing, if the
+// account is at its limit. Otherwise the request must be released at its end with the same
+// account.
+func (s *Streams) Enter(account *mustardtidev1.Account) *mtrefusal.Refusal {
+	if account.GetStreams() == 0 {
 		return nil
 	}
-	if count := s.count(of); count.Add(1) > int64(of.GetStreams()) {
-		count.Add(-1)
-		return mtrefusal.New(mtcode.StreamsExceeded, of.GetName()).After(answerTime + rand.N(spread))
+	if counter := s.counter(account); counter.Add(1) > int64(account.GetStreams()) {
+		counter.Add(-1)
+		return mtrefusal.New(mtcode.StreamsExceeded, account.GetName()).After(answerTime + rand.N(retryJitter))
 	}
 	return nil
 }
 
-// Leave ends a request.
-func (s *Streams) Leave(of *mustardtidev1.Account) {
-	if of.GetStreams() > 0 {
-		s.count(of).Add(-1)
+// Leave releases a request that was counted.
+func (s *Streams) Leave(account *mustardtidev1.Account) {
+	if account.GetStreams() > 0 {
+		s.counter(account).Add(-1)
 	}
 }
 
-func (s *Streams) count(of *mustardtidev1.Account) *atomic.Int64 {
-	found, known := s.accounts.Load(of.GetName())
+func (s *Streams) counter(account *mustardtidev1.Account) *atomic.Int64 {
+	found, known := s.counters.Load(account.GetName())
 	if !known {
-		found, _ = s.accounts.LoadOrStore(of.GetName(), &atomic.Int64{})
+		found, _ = s.counters.LoadOrStore(account.GetName(), &atomic.Int64{})
 	}
 	return found.(*atomic.Int64)
 }
--- a/internal/admission/mtstreams/streams_test.go
+++ b/internal/admission/mtstreams/streams_test.go
@@ -17,13 +17,13 @@
 	streams := mtstreams.New()
 	account := &mustardtidev1.Account{Name: "schools", Streams: proto.Uint32(3)}
 	for range 3 {
-		g.Expect(passes(streams.Enter(account))).To(BeTrue())
+		g.Expect(admitted(streams.Enter(account))).To(BeTrue())
 	}
 	refusal := streams.Enter(account)
 	g.Expect(refusal.Code()).To(Equal(mtcode.StreamsExceeded))
 	g.Expect(refusal.Wait()).To(BeNumerically(">", 0))
 	streams.Leave(account)
-	g.Expect(passes(streams.Enter(account))).To(BeTrue())
+	g.Expect(admitted(streams.Enter(account))).To(BeTrue())
 }
 
-func passes(refusal *mtrefusal.Refusal) bool { return refusal == nil }
+func admitted(refusal *mtrefusal.Refusal) bool { return refusal == nil }
