--- a/internal/admission/mtmargin/margin.go
+++ b/internal/admission/mtmargin/margin.go
@@ -1,8 +1,8 @@
-// Package mtmargin divides what a fleet may use beyond a client account's quota.
+// Package mtmargin divides the usage that a fleet allows beyond a client account's quota.
 //
-// Credit that entries hold unused, requests that are admitted before they are paid for
-// and a request larger than what is left all add to what a window holds. Each has its
-// part of the allowed excess, so that together they stay within it.
+// Usage in a window can exceed the quota for three reasons: entries hold unused credit,
+// requests are admitted before they are charged, and a request may be larger than the credit
+// left. Each gets a fraction of the allowed excess, so that together they stay within it.
 package mtmargin
 
 import (
@@ -11,36 +11,38 @@
 	fleetv1 "github.com/mustardtide/mustardtide/gen/mustardtide/fleet/v1"
 )
 
-// Parts of the excess; the rest covers entries that disagree on the size of the fleet.
+// Fractions of the allowed excess. The rest covers entries that disagree on the size of the
+// fleet.
 const (
-	parkedPart   = 0.35
-	debtPart     = 0.15
-	overdrawPart = 0.35
+	heldFraction      = 0.35
+	debtFraction      = 0.15
+	overdraftFraction = 0.35
 )
 
-// leastBurst is the time whose rate an account may use at once.
-const leastBurst = 100 * time.Millisecond
+// minBurstTime is the time whose rate an account may always use at once.
+const minBurstTime = 100 * time.Millisecond
 
 // Margin is one account's allowed excess in a window, in units of its quota.
 type Margin struct{ excess float64 }
 
-// Of returns an account's margin under the deployment's bounds.
+// Of returns the margin of an account under the bounds of the deployment.
 func Of(account *fleetv1.Account, bounds *fleetv1.Bounds) Margin {
 	quota := account.GetRate()*bounds.GetSpan().AsDuration().Seconds() + Burst(account)
 	return Margin{excess: quota*bounds.GetOvershoot() + bounds.GetSurplus()}
 }
 
-// Burst is what an account may use at once: at least a moment's rate, as a quota without
-// any burst would admit nothing.
+// Burst returns the number of units that an account may use at once. It is at least the rate
+// over minBurstTime, as a quota without any burst would admit nothing.
 func Burst(account *fleetv1.Account) float64 {
-	return max(account.GetBurst(), account.GetRate()*leastBurst.Seconds())
+	return max(account.GetBurst(), account.GetRate()*minBurstTime.Seconds())
 }
 
-// Parked is the credit that all entries together may hold for requests to come.
-func (m Margin) Parked() float64 { return m.excess * parkedPart }
+// Parked returns the credit that all entries together may hold for future requests.
+func (m Margin) Parked() float64 { return m.excess * heldFraction }
 
-// Debt is how far one of so many entries may go below its credit.
-func (m Margin) Debt(entries int) float64 { return m.excess * debtPart / float64(max(entries, 1)) }
+// Debt returns the number of units by which each of the given number of entries may exceed its
+// credit.
+func (m Margin) Debt(entries int) float64 { return m.excess * debtFraction / float64(max(entries, 1)) }
 
-// Overdraw is how far a request may take the whole quota below zero.
-func (m Margin) Overdraw() float64 { return m.excess * overdrawPart }
+// Overdraw returns the number of units by which a request may take the whole quota below zero.
+func (m Margin) Overdraw() float64 { return m.excess * overdraftFraction }
