--- a/internal/prefix/mtchain/chain.go
+++ b/internal/prefix/mtchain/chain.go
@@ -1,11 +1,10 @@
-// Package mtchain names the shared prefixes of a prompt.
+// Package mtchain computes hashes that identify the prefixes of a prompt.
 //
-// A prompt is cut into granules, as an engine cuts it into cache blocks. Each
-// granule's link is the 128-bit hash of the link before it and the granule's
-// bytes, so that a link names the whole prefix up to it. The first link hangs
-// on a salt of account, model, weights version and adapter: prompts under
-// different salts share no link, so that a match across them can't exist.
-// Only every stride-th link, a mark, is kept and sent.
+// A prompt is split into granules, as an engine splits it into cache blocks. The hash of each
+// granule is a 128-bit hash over the previous granule's hash and the granule's bytes, so that
+// it identifies the whole prefix up to that granule. The first one is seeded with a salt of
+// account, model, weights version and adapter: prompts with different salts share no hash and
+// can't match. Only every stride-th hash, called a mark, is kept and sent.
 package mtchain
 
 import (
@@ -17,75 +16,74 @@
 // MarkSize is the size of a mark in bytes.
 const MarkSize = 16
 
-// TokenBytes turns bytes of prompt into tokens where the engine has not counted
-// them yet.
+// TokenBytes is the assumed number of prompt bytes per token. It is used to estimate tokens
+// that the engine has not counted yet.
 const TokenBytes = 4
 
-// Chain holds the marks of one prompt, shallowest first. It is immutable.
+// Chain holds the marks of one prompt, shortest prefix first. It is immutable.
 type Chain struct {
 	marks []byte
 	span  int
 }
 
-// New computes the chain of a prompt. granule is the engine's cache block in
-// bytes, stride the number of granules between two marks; both must be above
-// zero. A rest shorter than a mark's span has no mark: engines cache whole
-// blocks only.
+// New computes the chain of a prompt. granule is the size of the engine's cache block in bytes,
+// and stride is the number of granules between two marks; both must be above zero. A remainder
+// shorter than the span of a mark gets no mark, as engines cache whole blocks only.
 func New(salt string, granule, stride int, prompt []byte) Chain {
 	span := granule * stride
 	return Append(make([]byte, 0, len(prompt)/span*MarkSize), salt, granule, stride, prompt)
 }
 
-// Append is New with the marks' memory given; a warm path passes a used
-// buffer and allocates nothing.
+// Append is like New but appends the marks to buffer, so that hot paths can reuse a buffer and
+// allocate nothing.
 func Append(buffer []byte, salt string, granule, stride int, prompt []byte) Chain {
 	span := granule * stride
-	link := xxh3.HashString128(salt)
+	hash := xxh3.HashString128(salt)
 	for len(prompt) >= span {
 		for range stride {
-			link = follow(link, prompt[:granule])
+			hash = hashGranule(hash, prompt[:granule])
 			prompt = prompt[granule:]
 		}
-		mark := link.Bytes()
+		mark := hash.Bytes()
 		buffer = append(buffer, mark[:]...)
 	}
 	return Chain{marks: buffer, span: span}
 }
 
-// From takes a chain out of a message; span is the bytes of prompt per mark.
+// From returns the chain with the given wire form. span is the number of prompt bytes per mark.
 func From(marks []byte, span int) Chain {
 	return Chain{marks: marks[:len(marks)/MarkSize*MarkSize], span: span}
 }
 
-// Salt keeps apart what may not be shared: another account's cache entries,
-// and those of another model, older weights or another adapter.
+// Salt returns the salt that separates cache entries that must not be shared: those of different
+// accounts, models, weights versions or adapters.
 func Salt(account, model, weights, adapter string) string {
 	const separator = "\x00"
 	return account + separator + model + separator + weights + separator + adapter
 }
 
-// Root is the link before the first granule.
+// Root returns the hash that precedes the first granule.
 func Root(salt string) [MarkSize]byte {
 	return xxh3.HashString128(salt).Bytes()
 }
 
-// Next is the link of a granule behind the link before it.
-func Next(link [MarkSize]byte, granule []byte) [MarkSize]byte {
-	before := xxh3.Uint128{Hi: binary.BigEndian.Uint64(link[:8]), Lo: binary.BigEndian.Uint64(link[8:])}
-	return follow(before, granule).Bytes()
+// Next returns the hash of a granule, given the hash of the previous granule.
+func Next(hash [MarkSize]byte, granule []byte) [MarkSize]byte {
+	previous := xxh3.Uint128{Hi: binary.BigEndian.Uint64(hash[:8]), Lo: binary.BigEndian.Uint64(hash[8:])}
+	return hashGranule(previous, granule).Bytes()
 }
 
-// follow is Next on numbers: a warm path turns only marks into bytes.
-func follow(link xxh3.Uint128, granule []byte) xxh3.Uint128 {
-	sum := xxh3.Hash128Seed(granule, link.Hi)
-	sum.Lo ^= link.Lo
+// hashGranule works on integers, so that hot paths convert only the marks to bytes.
+func hashGranule(hash xxh3.Uint128, granule []byte) xxh3.Uint128 {
+	sum := xxh3.Hash128Seed(granule, hash.Hi)
+	sum.Lo ^= hash.Lo
 	return sum
 }
 
-// Len is the number of marks.
+// Len returns the number of marks.
 func (c Chain) Len() int { return len(c.marks) / MarkSize }
 
-// Span is the bytes of prompt per mark.
+// Span returns the number of prompt bytes per mark.
 func (c Chain) Span() int { return c.span }
 
 // At returns the i-th mark, from 0.
@@ -93,5 +91,5 @@
 	return [MarkSize]byte(c.marks[i*MarkSize:])
 }
 
-// Bytes gives the wire form; the caller must not change it.
+// Bytes returns the wire form, which the caller must not modify.
 func (c Chain) Bytes() []byte { return c.marks }
--- a/internal/prefix/mtchain/chain_bench_test.go
+++ b/internal/prefix/mtchain/chain_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// BenchmarkChain is a warm path: the marks' buffer is used again.
+// BenchmarkChain measures the hot path, which reuses the buffer for the marks.
 func BenchmarkChain(b *testing.B) {
 	for _, size := range []int{2 << 10, 200 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/prefix/mtchain/chain_test.go
+++ b/internal/prefix/mtchain/chain_test.go
@@ -9,24 +9,24 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtchain"
 )
 
-// The sidecar labels an engine's blocks one by one, the entry hashes a prompt at
-// once: both must name the same marks.
-func TestChainIsItsLinks(t *testing.T) {
+// The sidecar hashes an engine's blocks one by one, and the entry hashes a whole prompt at once.
+// Both must compute the same marks.
+func TestChainMatchesIncrementalHashes(t *testing.T) {
 	g := NewWithT(t)
 	prompt := bytes.Repeat([]byte("Every slip is signed by one parent. "), 300)
 	chain := mtchain.New("salt", 64, 16, prompt)
 	g.Expect(chain.Len()).To(Equal(len(prompt) / 1024))
-	link := mtchain.Root("salt")
+	hash := mtchain.Root("salt")
 	for i := range chain.Len() * 16 {
-		link = mtchain.Next(link, prompt[i*64:(i+1)*64])
+		hash = mtchain.Next(hash, prompt[i*64:(i+1)*64])
 		if (i+1)%16 == 0 {
-			g.Expect(chain.At(i / 16)).To(Equal(link))
+			g.Expect(chain.At(i / 16)).To(Equal(hash))
 		}
 	}
 }
 
-// Accounts, weights and adapters share no mark: one in common would let one
-// account's prompt match what another's left in a cache.
+// Different accounts, weights or adapters must not share a mark: a common one would let one
+// account's prompt match cache entries of another account.
 func TestSaltsShareNoMark(t *testing.T) {
 	g := NewWithT(t)
 	seen := map[[mtchain.MarkSize]byte]string{}
