--- a/internal/prefix/mtheld/log.go
+++ b/internal/prefix/mtheld/log.go
@@ -1,5 +1,5 @@
-// Package mtheld keeps what one engine's cache holds, so that entries can be
-// told the changes since they last heard.
+// Package mtheld tracks the contents of one engine's cache, so that entries can be sent the
+// changes since their last update.
 package mtheld
 
 import (
@@ -10,23 +10,22 @@
 )
 
 const (
-	// kept bounds the parts, held ones and those that are gone: an engine holds
-	// some hundred, and entries hear of each change within a second.
-	kept = 4096
-	// perState bounds the changes in one datagram: at about 50 bytes each they
-	// fit beside the rest.
-	perState = 16
+	// maxParts bounds the number of parts in the log, both cached and evicted ones. An engine
+	// caches some hundred, and entries receive each change within a second.
+	maxParts = 4096
+	// maxChangesPerState bounds the changes in one datagram: at about 50 bytes each they fit
+	// beside the other fields.
+	maxChangesPerState = 16
 )
 
-// Log holds each part once, at the place of its last change. It is not safe for
-// concurrent use.
+// Log holds each part once, ordered by its latest change. It is not safe for concurrent use.
 type Log struct {
-	epoch int64
-	last  uint64
-	// dropped is the number of the newest change that is no longer kept.
-	dropped uint64
-	parts   map[key]*list.Element
-	order   *list.List
+	epoch      int64
+	lastNumber uint64
+	// lastDropped is the number of the newest change that has been dropped.
+	lastDropped uint64
+	elements    map[key]*list.Element
+	order       *list.List
 }
 
 type key struct{ salt, part string }
@@ -36,44 +35,44 @@
 	held   *fleetv1.Held
 }
 
-// New returns an empty log. Its first epoch is the time, so that a restarted
-// sidecar's differs from those before.
+// New returns an empty log. Its first epoch is the current time, so that it differs from the
+// epochs before a restart of the sidecar.
 func New() *Log {
-	return &Log{epoch: time.Now().UnixNano(), parts: map[key]*list.Element{}, order: list.New()}
+	return &Log{epoch: time.Now().UnixNano(), elements: map[key]*list.Element{}, order: list.New()}
 }
 
-// Epoch names the log's present contents: it changes when they are void.
+// Epoch identifies the current contents of the log. It changes when they become invalid.
 func (l *Log) Epoch() int64 { return l.epoch }
 
-// Clear empties the log: the engine has started anew, or events were lost.
+// Clear empties the log after a restart of the engine or a loss of events.
 func (l *Log) Clear() {
 	l.epoch++
-	l.last, l.dropped = 0, 0
-	clear(l.parts)
+	l.lastNumber, l.lastDropped = 0, 0
+	clear(l.elements)
 	l.order.Init()
 }
 
-// Put takes in one change.
+// Put records one change.
 func (l *Log) Put(held *fleetv1.Held) {
-	l.last++
+	l.lastNumber++
 	k := key{held.GetSalt(), held.GetPart()}
-	if old := l.parts[k]; old != nil {
+	if old := l.elements[k]; old != nil {
 		l.order.Remove(old)
 	}
-	l.parts[k] = l.order.PushBack(&change{number: l.last, held: held})
-	for l.order.Len() > kept {
+	l.elements[k] = l.order.PushBack(&change{number: l.lastNumber, held: held})
+	for l.order.Len() > maxParts {
 		oldest := l.order.Remove(l.order.Front()).(*change)
-		l.dropped = oldest.number
-		delete(l.parts, key{oldest.held.GetSalt(), oldest.held.GetPart()})
+		l.lastDropped = oldest.number
+		delete(l.elements, key{oldest.held.GetSalt(), oldest.held.GetPart()})
 	}
 }
 
-// Find returns those of some parts that are held.
+// Find returns the given parts that are cached under the given salts.
 func (l *Log) Find(salts, parts []string) []*fleetv1.Held {
 	var found []*fleetv1.Held
 	for _, salt := range salts {
 		for _, part := range parts {
-			if e := l.parts[key{salt, part}]; e != nil && e.Value.(*change).held.GetTokens() > 0 {
+			if e := l.elements[key{salt, part}]; e != nil && e.Value.(*change).held.GetTokens() > 0 {
 				found = append(found, e.Value.(*change).held)
 			}
 		}
@@ -81,19 +80,19 @@
 	return found
 }
 
-// Fill adds to a state the changes after a number that the asker knows of an
-// epoch. Where they are no longer kept, it begins anew.
+// Fill adds to a state the changes after change number since of an epoch, which is the last one
+// that the receiver knows. If some of them have been dropped, it starts from the beginning.
 func (l *Log) Fill(state *fleetv1.State, epoch int64, since uint64) {
-	if epoch != l.epoch || since > l.last {
+	if epoch != l.epoch || since > l.lastNumber {
 		since = 0
 	}
-	if since < l.dropped {
-		// Some changes after it are gone: what the asker knows is void.
+	if since < l.lastDropped {
+		// Some later changes have been dropped, so the receiver's contents are invalid.
 		state.Reset_ = since > 0
 		since = 0
 	}
 	state.Epoch, state.Since, state.Upto = l.epoch, since, since
-	// Newest changes stand at the end; walk back to the first that is news.
+	// The newest changes are at the end: walk back to the first one after since.
 	first := l.order.Back()
 	for first != nil && first.Prev() != nil && first.Prev().Value.(*change).number > since {
 		first = first.Prev()
@@ -101,15 +100,15 @@
 	for e := first; e != nil; e = e.Next() {
 		c := e.Value.(*change)
 		if c.number <= since || since == 0 && c.held.GetTokens() == 0 {
-			// Who knows nothing yet need not hear of what is gone.
+			// A receiver that starts from the beginning doesn't need evictions.
 			continue
 		}
-		if len(state.Changes) == perState {
+		if len(state.Changes) == maxChangesPerState {
 			state.More = true
 			return
 		}
 		state.Changes = append(state.Changes, c.held)
 		state.Upto = c.number
 	}
-	state.Upto = l.last
+	state.Upto = l.lastNumber
 }
