--- a/internal/prefix/mtview/plan.go
+++ b/internal/prefix/mtview/plan.go
@@ -7,30 +7,29 @@
 )
 
 const (
-	// learnedFor is how long a finished run's prompt counts as cached without
-	// an event that says so: engines evict blocks within seconds, and a mark
-	// that no event named is not taken away by one.
-	learnedFor = 10 * time.Second
-	// maxLearned bounds the learned marks; a prompt of 200 KB has 200.
+	// learnedTTL is how long the prompt of a finished run counts as cached without a cache
+	// event. Engines evict blocks within seconds, and a mark that no event has added is not
+	// removed by one either.
+	learnedTTL = 10 * time.Second
+	// maxLearned bounds the number of learned marks; a prompt of 200 KB has 200.
 	maxLearned = 1 << 14
-	// maxStrikes is how many runs in a row must find less than the view held
-	// before it is given up: one may be due to an event that is on its way.
-	maxStrikes = 3
+	// maxShortfalls is the number of consecutive runs that must find fewer marks cached than
+	// the view held before the view is reset. A single one may be due to an event in flight.
+	maxShortfalls = 3
 )
 
-// plan is a mark that requests taken but not yet computed will cache.
-type plan struct {
+// pendingMark is a mark that accepted requests will cache once they are computed.
+type pendingMark struct {
 	count   int
 	removed bool
 }
 
-// Plan notes that a request with this chain was taken: its target will have
-// cached it before a later request is computed. Without it a burst on a cold
-// prompt, whose cache events are still to come, is scattered over the targets.
+// Plan records that a request with this chain was accepted: the target will have cached the chain
+// before it computes a later request. Without it a burst of requests with an uncached prompt,
+// whose cache events have not arrived yet, is scattered over the targets.
 //
-// What it returns must be called at the request's end. It reports whether the
-// view was sure of the chain all the time: neither emptied nor told of the
-// removal of one of its marks.
+// The returned function must be called at the end of the request. It reports whether the view of
+// the chain was reliable throughout: the view was not reset and lost none of the chain's marks.
 func (v *View) Plan(chain mtchain.Chain) (done func() bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -40,51 +39,52 @@
 	}
 	for i := range chain.Len() {
 		mark := chain.At(i)
-		p := v.planned[mark]
-		v.planned[mark] = plan{count: p.count + 1, removed: p.removed}
+		p := v.pending[mark]
+		v.pending[mark] = pendingMark{count: p.count + 1, removed: p.removed}
 	}
-	return func() bool { return v.settle(generation, chain) }
+	return func() bool { return v.removePending(generation, chain) }
 }
 
-// settle takes a plan back; one from before the last emptying is gone already.
-func (v *View) settle(generation uint64, chain mtchain.Chain) bool {
+// removePending removes the pending marks of a finished request. Those from before the last
+// reset are gone already.
+func (v *View) removePending(generation uint64, chain mtchain.Chain) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if generation != v.generation {
 		return false
 	}
-	sure := true
+	reliable := true
 	for i := range chain.Len() {
 		mark := chain.At(i)
-		p := v.planned[mark]
-		sure = sure && !p.removed
+		p := v.pending[mark]
+		reliable = reliable && !p.removed
 		if p.count--; p.count > 0 {
-			v.planned[mark] = p
+			v.pending[mark] = p
 		} else {
-			delete(v.planned, mark)
+			delete(v.pending, mark)
 		}
 	}
-	return sure
+	return reliable
 }
 
-// Promise counts the leading marks of a chain that the target has cached or
-// will have when the requests before are computed.
+// Promise returns the number of leading marks of a chain that the target has cached or will have
+// cached once earlier requests are computed.
 func (v *View) Promise(chain mtchain.Chain) int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	now := time.Now()
 	for i := range chain.Len() {
 		mark := chain.At(i)
-		if !v.held(mark, now) && v.planned[mark].count == 0 {
+		if !v.cached(mark, now) && v.pending[mark].count == 0 {
 			return i
 		}
 	}
 	return chain.Len()
 }
 
-// Learn takes in that a run of an incarnation computed a whole chain: after a
-// gap the events of blocks behind unknown parents can't be labelled, and
-// without it the view stays blind to prefixes that are asked for all the time.
+// Learn records that a run of an incarnation computed a whole chain. After a gap in the events,
+// blocks with unknown parents can't be labelled, so without this the view would miss prefixes
+// that are requested all the time.
 func (v *View) Learn(incarnation string, chain mtchain.Chain) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -94,28 +94,27 @@
 	if len(v.learned) >= maxLearned {
 		clear(v.learned)
 	}
-	until := time.Now().Add(learnedFor)
+	expires := time.Now().Add(learnedTTL)
 	for i := range chain.Len() {
 		if _, stored := v.marks[chain.At(i)]; !stored {
-			v.learned[chain.At(i)] = until
+			v.learned[chain.At(i)] = expires
 		}
 	}
 }
 
-// Judge takes in how many marks the view held for a run and how many the
-// target then found. It empties the view and reports true when the target
-// found less several times in a row: removals were lost without a gap, and what
-// else is stale can't be known.
-func (v *View) Judge(held, found int) bool {
+// Judge compares the number of marks that the view held for a run with the number that the target
+// found. After several consecutive runs that found fewer, it resets the view and returns true:
+// removals were lost without a visible gap, and it is unknown which other marks are stale.
+func (v *View) Judge(expected, found int) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if found >= held {
-		v.strikes = 0
+	if found >= expected {
+		v.shortfalls = 0
 		return false
 	}
-	if v.strikes++; v.strikes < maxStrikes {
+	if v.shortfalls++; v.shortfalls < maxShortfalls {
 		return false
 	}
-	v.empty()
+	v.reset()
 	return true
 }
--- a/internal/prefix/mtview/view.go
+++ b/internal/prefix/mtview/view.go
@@ -1,4 +1,4 @@
-// Package mtview is what a sidecar knows of its target's prefix cache.
+// Package mtview maintains a sidecar's view of its target's prefix cache.
 package mtview
 
 import (
@@ -14,10 +14,10 @@
 	mu          sync.RWMutex
 	incarnation string
 	marks       map[[mtchain.MarkSize]byte]struct{}
-	planned     map[[mtchain.MarkSize]byte]plan
+	pending     map[[mtchain.MarkSize]byte]pendingMark
 	learned     map[[mtchain.MarkSize]byte]time.Time
 	generation  uint64
-	strikes     int
+	shortfalls  int
 	open        bool
 }
 
@@ -25,14 +25,14 @@
 func New() *View {
 	return &View{
 		marks:   map[[mtchain.MarkSize]byte]struct{}{},
-		planned: map[[mtchain.MarkSize]byte]plan{},
+		pending: map[[mtchain.MarkSize]byte]pendingMark{},
 		learned: map[[mtchain.MarkSize]byte]time.Time{},
 	}
 }
 
-// Start empties the view for a new incarnation: the cache of a target that
-// died is gone, and an entry left over would promise work that must be done
-// again. It reports whether the incarnation is new.
+// Start resets the view for a new incarnation. The cache of a target that died is gone, and a stale
+// mark would count work as cached that must be done again. It reports whether the incarnation is
+// new.
 func (v *View) Start(incarnation string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -41,12 +41,12 @@
 	}
 	v.incarnation = incarnation
 	v.open = false
-	v.empty()
+	v.reset()
 	return true
 }
 
-// Open notes that the target's events are read now: from here on an end of the
-// target shows as an end of the events. It is false for another incarnation.
+// Open records that the target's cache events are being read: from now on the end of the target
+// is visible as the end of the event stream. It returns false for another incarnation.
 func (v *View) Open(incarnation string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -54,40 +54,39 @@
 	return v.open
 }
 
-// Close empties the view until it is opened again: the target may have died
-// and be back with an empty cache before anyone asks for its incarnation.
+// Close resets the view and keeps it empty until Open is called: the target may have died and
+// restarted with an empty cache before its incarnation is probed again.
 func (v *View) Close() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.open = false
-	v.empty()
+	v.reset()
 }
 
-// Incarnation is the one that the view speaks of; empty before the first.
+// Incarnation returns the incarnation that the view describes, or an empty string before the
+// first one.
 func (v *View) Incarnation() string {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.incarnation
 }
 
-// Void empties the view after a gap in the events: what was removed meanwhile is
-// not known.
+// Void resets the view after a gap in the events, as marks removed during the gap are unknown.
 func (v *View) Void() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.empty()
+	v.reset()
 }
 
-func (v *View) empty() {
+func (v *View) reset() {
 	clear(v.marks)
-	clear(v.planned)
+	clear(v.pending)
 	clear(v.learned)
-	v.strikes = 0
+	v.shortfalls = 0
 	v.generation++
 }
 
-// Store adds a mark that the given incarnation cached; one of an earlier
-// incarnation is dropped.
+// Store adds a mark that the given incarnation cached. Marks of other incarnations are ignored.
 func (v *View) Store(incarnation string, mark [mtchain.MarkSize]byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -96,40 +95,40 @@
 	}
 }
 
-// Remove takes a mark away.
+// Remove removes an evicted mark.
 func (v *View) Remove(mark [mtchain.MarkSize]byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.marks, mark)
 	delete(v.learned, mark)
-	if p, ok := v.planned[mark]; ok {
-		v.planned[mark] = plan{count: p.count, removed: true}
+	if p, ok := v.pending[mark]; ok {
+		v.pending[mark] = pendingMark{count: p.count, removed: true}
 	}
 }
 
-// held says that the target has a mark cached.
-func (v *View) held(mark [mtchain.MarkSize]byte, now time.Time) bool {
+// cached reports whether the target has a mark cached.
+func (v *View) cached(mark [mtchain.MarkSize]byte, now time.Time) bool {
 	if _, stored := v.marks[mark]; stored {
 		return true
 	}
-	until, learned := v.learned[mark]
-	return learned && now.Before(until)
+	expires, learned := v.learned[mark]
+	return learned && now.Before(expires)
 }
 
-// Match counts the leading marks of a chain that the target has cached.
+// Match returns the number of leading marks of a chain that the target has cached.
 func (v *View) Match(chain mtchain.Chain) int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	now := time.Now()
 	for i := range chain.Len() {
-		if !v.held(chain.At(i), now) {
+		if !v.cached(chain.At(i), now) {
 			return i
 		}
 	}
 	return chain.Len()
 }
 
-// Len is the number of marks held.
+// Len returns the number of marks that cache events have added.
 func (v *View) Len() int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
--- a/internal/prefix/mtview/view_bench_test.go
+++ b/internal/prefix/mtview/view_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/mustardtide/mustardtide/internal/prefix/mtview"
 )
 
-// BenchmarkView stores a cache event's mark and reports the bytes a mark at
-// the size in view: 78,000 blocks an engine, a mark for each.
+// BenchmarkView measures Store and reports the memory per mark at the expected size: 78,000
+// blocks per engine with one mark each.
 func BenchmarkView(b *testing.B) {
 	const marks = 78000
 	view := mtview.New()
