--- a/internal/admission/mtclosing/closing.go
+++ b/internal/admission/mtclosing/closing.go
@@ -50,8 +50,8 @@
 	return c.Takes(deadline) || maxTokens > 0 && c.Takes(now.Add(maxStartDelay+time.Duration(maxTokens)*maxTokenTime))
 }
 
-// Again returns the delay after which a refused caller should retry. others holds the shutdown
-// times of the other entries, the zero time for one that accepts requests.
+// Again returns the delay after which a refused caller should retry. others holds the
+// shutdown times of the other entries, the zero time for one that accepts requests.
 func (c Closing) Again(now time.Time, others []time.Time) time.Duration {
 	first := c.end
 	for _, end := range others {
--- a/internal/admission/mtretry/budget.go
+++ b/internal/admission/mtretry/budget.go
@@ -47,8 +47,8 @@
 // New returns a full budget, as a restarted entry may face failures that are already under way.
 func New() *Budget { return &Budget{tokens: maxTokens, refilled: time.Now()} }
 
-// Succeeded adds the retries earned by one successful request. A ratio of zero or below stands
-// for the default.
+// Succeeded adds the retries earned by one successful request. A ratio of zero or below
+// stands for the default.
 func (b *Budget) Succeeded(ratio float64) {
 	if ratio <= 0 {
 		ratio = defaultRetryRatio
--- a/internal/admission/mtstart/start.go
+++ b/internal/admission/mtstart/start.go
@@ -38,8 +38,8 @@
 	return &Start{ready: ready, deadline: time.Now().Add(maxStartTime), changed: make(chan struct{})}
 }
 
-// Tell makes waiting requests check readiness again. It does nothing once the start-up period
-// is over, as no request waits any more.
+// Tell makes waiting requests check readiness again. It does nothing once the start-up
+// period is over, as no request waits any more.
 func (s *Start) Tell() {
 	if time.Now().After(s.deadline) {
 		return
--- a/internal/prefix/mtheld/log.go
+++ b/internal/prefix/mtheld/log.go
@@ -80,8 +80,9 @@
 	return found
 }
 
-// Fill adds to a state the changes after change number since of an epoch, which is the last one
-// that the receiver knows. If some of them have been dropped, it starts from the beginning.
+// Fill adds to a state the changes after change number since of an epoch, which is the
+// last one that the receiver knows. If some of them have been dropped, it starts from the
+// beginning.
 func (l *Log) Fill(state *fleetv1.State, epoch int64, since uint64) {
 	if epoch != l.epoch || since > l.lastNumber {
 		since = 0
--- a/internal/prefix/mtview/plan.go
+++ b/internal/prefix/mtview/plan.go
@@ -24,9 +24,10 @@
 	removed bool
 }
 
-// Plan records that a request with this chain was accepted: the target will have cached the chain
-// before it computes a later request. Without it a burst of requests with an uncached prompt,
-// whose cache events have not arrived yet, is scattered over the targets.
+// Plan records that a request with this chain was accepted: the target will have cached
+// the chain before it computes a later request. Without it a burst of requests with an
+// uncached prompt, whose cache events have not arrived yet, is scattered over the
+// targets.
 //
 // The returned function must be called at the end of the request. It reports whether the view of
 // the chain was reliable throughout: the view was not reset and lost none of the chain's marks.
@@ -67,8 +68,8 @@
 	return reliable
 }
 
-// Promise returns the number of leading marks of a chain that the target has cached or will have
-// cached once earlier requests are computed.
+// Promise returns the number of leading marks of a chain that the target has cached or
+// will have cached once earlier requests are computed.
 func (v *View) Promise(chain mtchain.Chain) int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -82,9 +83,9 @@
 	return chain.Len()
 }
 
-// Learn records that a run of an incarnation computed a whole chain. After a gap in the events,
-// blocks with unknown parents can't be labelled, so without this the view would miss prefixes
-// that are requested all the time.
+// Learn records that a run of an incarnation computed a whole chain. After a gap in the
+// events, blocks with unknown parents can't be labelled, so without this the view would
+// miss prefixes that are requested all the time.
 func (v *View) Learn(incarnation string, chain mtchain.Chain) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -102,9 +103,10 @@
 	}
 }
 
-// Judge compares the number of marks that the view held for a run with the number that the target
-// found. After several consecutive runs that found fewer, it resets the view and returns true:
-// removals were lost without a visible gap, and it is unknown which other marks are stale.
+// Judge compares the number of marks that the view held for a run with the number that
+// the target found. After several consecutive runs that found fewer, it resets the view
+// and returns true: removals were lost without a visible gap, and it is unknown which
+// other marks are stale.
 func (v *View) Judge(expected, found int) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/prefix/mtview/view.go
+++ b/internal/prefix/mtview/view.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Start resets the view for a new incarnation. The cache of a target that died is gone, and a stale
-// mark would count work as cached that must be done again. It reports whether the incarnation is
-// new.
+// Start resets the view for a new incarnation. The cache of a target that died is gone,
+// and a stale mark would count work as cached that must be done again. It reports whether
+// the incarnation is new.
 func (v *View) Start(incarnation string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
