--- a/internal/admission/mtallocator/allocator.go
+++ b/internal/admission/mtallocator/allocator.go
@@ -258,11 +258,11 @@
 	// A request that fits in part is granted whole: credit that is just short of a large request
 	// would otherwise always go to smaller ones. Credit held by entries counts as available here.
 	waiting := float64(max(0, need.GetWaiting()))
-	if waiting > 0 && b.level > -b.held && waiting <= b.level+margin.Overdraw()*s.lentPart {
+	if waiting > 0 && b.level > -b.held && waiting <= b.level+margin.MaxOverdraft()*s.lentPart {
 		amount = waiting
 		b.level -= waiting
 	}
-	ahead := min(float64(max(0, need.GetAhead())), b.level-reservedPart*full, margin.Parked()+maxHeldPart*full-b.held)
+	ahead := min(float64(max(0, need.GetAhead())), b.level-reservedPart*full, margin.HeldCredit()+maxHeldPart*full-b.held)
 	ahead = max(0, float64(int64(ahead)))
 	b.level -= ahead
 	b.held += ahead
@@ -298,7 +298,7 @@
 // maxLevel returns the highest level of a balance with the given full level. What entries hold
 // beyond the margin is part of the burst.
 func (b *balance) maxLevel(full float64, margin mtmargin.Margin) float64 {
-	return full - max(0, b.held-margin.Parked())
+	return full - max(0, b.held-margin.HeldCredit())
 }
 
 // reportHeld updates the credit that a lender reports to hold.
--- a/internal/admission/mtclosing/closing.go
+++ b/internal/admission/mtclosing/closing.go
@@ -28,31 +28,33 @@
 	replacementDelay = 1300 * time.Millisecond
 )
 
-// Closing is the shutdown of one entry. The zero value stands for none.
-type Closing struct {
+// Shutdown is the shutdown of one entry. The zero value stands for none.
+type Shutdown struct {
 	end time.Time
 }
 
-// Until returns the shutdown of an entry whose process ends at the given time at the latest.
-func Until(end time.Time) Closing { return Closing{end: end} }
+// EndingAt returns the shutdown of an entry whose process ends at the given time at the latest.
+func EndingAt(end time.Time) Shutdown { return Shutdown{end: end} }
 
-// Left returns the longest time that the entry still runs.
-func (c Closing) Left(now time.Time) time.Duration { return c.end.Sub(now) }
+// Remaining returns the longest time that the entry still runs.
+func (c Shutdown) Remaining(now time.Time) time.Duration { return c.end.Sub(now) }
 
-// Takes reports whether a request with the given deadline, its caller's or its route's, may
+// Accepts reports whether a request with the given deadline, its caller's or its route's, may
 // still start. Requests that the end of the entry could cut off may not.
-func (c Closing) Takes(deadline time.Time) bool { return deadline.Before(c.end.Add(-deliveryMargin)) }
+func (c Shutdown) Accepts(deadline time.Time) bool {
+	return deadline.Before(c.end.Add(-deliveryMargin))
+}
 
-// TakesAnswer reports whether a request for a model's answer of at most maxTokens tokens may
+// AcceptsAnswer reports whether a request for a model's answer of at most maxTokens tokens may
 // still start: by its deadline, or because so short an answer ends in time. maxTokens is zero
 // if the length is unknown.
-func (c Closing) TakesAnswer(now, deadline time.Time, maxTokens int64) bool {
-	return c.Takes(deadline) || maxTokens > 0 && c.Takes(now.Add(maxStartDelay+time.Duration(maxTokens)*maxTokenTime))
+func (c Shutdown) AcceptsAnswer(now, deadline time.Time, maxTokens int64) bool {
+	return c.Accepts(deadline) || maxTokens > 0 && c.Accepts(now.Add(maxStartDelay+time.Duration(maxTokens)*maxTokenTime))
 }
 
-// Again returns the delay after which a refused caller should retry. others holds the
+// RetryAfter returns the delay after which a refused caller should retry. others holds the
 // shutdown times of the other entries, the zero time for one that accepts requests.
-func (c Closing) Again(now time.Time, others []time.Time) time.Duration {
+func (c Shutdown) RetryAfter(now time.Time, others []time.Time) time.Duration {
 	first := c.end
 	for _, end := range others {
 		if end.IsZero() {
--- a/internal/admission/mtmargin/margin.go
+++ b/internal/admission/mtmargin/margin.go
@@ -37,12 +37,14 @@
 	return max(account.GetBurst(), account.GetRate()*minBurstTime.Seconds())
 }
 
-// Parked returns the credit that all entries together may hold for future requests.
-func (m Margin) Parked() float64 { return m.excess * heldFraction }
+// HeldCredit returns the credit that all entries together may hold for future requests.
+func (m Margin) HeldCredit() float64 { return m.excess * heldFraction }
 
-// Debt returns the number of units by which each of the given number of entries may
+// MaxDebt returns the number of units by which each of the given number of entries may
 // exceed its credit.
-func (m Margin) Debt(entries int) float64 { return m.excess * debtFraction / float64(max(entries, 1)) }
+func (m Margin) MaxDebt(entries int) float64 {
+	return m.excess * debtFraction / float64(max(entries, 1))
+}
 
-// Overdraw returns the number of units by which a request may take the whole quota below zero.
-func (m Margin) Overdraw() float64 { return m.excess * overdraftFraction }
+// MaxOverdraft returns the number of units by which a request may take the whole quota below zero.
+func (m Margin) MaxOverdraft() float64 { return m.excess * overdraftFraction }
--- a/internal/admission/mtqueue/expire.go
+++ b/internal/admission/mtqueue/expire.go
@@ -19,7 +19,7 @@
 func (q *Queue) Expire(refuse func(*mustardtidev1.Work, *mtrefusal.Refusal)) {
 	q.now = time.Now()
 	for _, it := range q.evicted {
-		refuse(it.work, q.queueFull().After(q.retryAfter(0)))
+		refuse(it.work, q.queueFull().WithRetryAfter(q.retryAfter(0)))
 	}
 	q.evicted = q.evicted[:0]
 	if q.now.Sub(q.lastScan) < scanInterval {
@@ -62,7 +62,7 @@
 	for q.overBounds(it) {
 		victim := last(q.lanes[it.lane].root)
 		if victim == nil || victim.before(it) {
-			return q.queueFull().After(q.retryAfter(0))
+			return q.queueFull().WithRetryAfter(q.retryAfter(0))
 		}
 		q.lane(victim).remove(victim)
 		delete(q.byKey, victim.key)
--- a/internal/admission/mtqueue/pattern_test.go
+++ b/internal/admission/mtqueue/pattern_test.go
@@ -207,7 +207,7 @@
 	switch {
 	case refusal != nil:
 		c.refused++
-		c.retryAfter = append(c.retryAfter, refusal.Wait())
+		c.retryAfter = append(c.retryAfter, refusal.RetryAfter())
 		c.refusalTimes = append(c.refusalTimes, time.Since(sent))
 	case end.Sub(sent) > left:
 		c.late++
--- a/internal/admission/mtqueue/reservation.go
+++ b/internal/admission/mtqueue/reservation.go
@@ -49,7 +49,7 @@
 		return 0, refusal
 	}
 	if q.overBounds(it) && last(q.lane(it).root).before(it) {
-		return 0, q.queueFull().After(q.retryAfter(0))
+		return 0, q.queueFull().WithRetryAfter(q.retryAfter(0))
 	}
 	wait := q.predictWait(it, q.reservations.total)
 	q.reservations.add(it)
--- a/internal/admission/mtqueue/wait.go
+++ b/internal/admission/mtqueue/wait.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	reason := "predicted time to finish " + need.Round(time.Millisecond).String() + ", time left until the deadline " + timeLeft.Round(time.Millisecond).String()
-	return mtrefusal.New(mtcode.DeadlineTooNear, reason).After(q.retryAfter(min(need-timeLeft, wait)))
+	return mtrefusal.New(mtcode.DeadlineTooNear, reason).WithRetryAfter(q.retryAfter(min(need-timeLeft, wait)))
 }
 
 // retryAfter returns when a refused caller should retry: after the backlog has shrunk by the
--- a/internal/admission/mtquota/account.go
+++ b/internal/admission/mtquota/account.go
@@ -41,7 +41,7 @@
 	found, ok := q.accounts.Load(client.GetName())
 	if !ok {
 		fresh := &account{name: client.GetName()}
-		fresh.floor.Store(-int64(mtmargin.Of(client, q.bounds).Debt(q.Entries())))
+		fresh.floor.Store(-int64(mtmargin.Of(client, q.bounds).MaxDebt(q.Entries())))
 		found, _ = q.accounts.LoadOrStore(client.GetName(), fresh)
 	}
 	a := found.(*account)
--- a/internal/admission/mtquota/quota.go
+++ b/internal/admission/mtquota/quota.go
@@ -89,7 +89,7 @@
 	if a.take(cost) {
 		return Admitted{}
 	}
-	if float64(cost) > mtmargin.Burst(client)+mtmargin.Of(client, q.bounds).Overdraw() {
+	if float64(cost) > mtmargin.Burst(client)+mtmargin.Of(client, q.bounds).MaxOverdraft() {
 		return q.refuse(a, cost, maxRetryAfter, reasonTooLarge)
 	}
 	if wait := time.Duration(a.blockedUntil.Load()) - time.Since(q.started); wait > 0 {
--- a/internal/admission/mtquota/tick.go
+++ b/internal/admission/mtquota/tick.go
@@ -50,7 +50,7 @@
 	for _, value := range q.accounts.Range {
 		a := value.(*account)
 		a.updateDemand(now, elapsed)
-		a.floor.Store(-int64(mtmargin.Of(a.limit.Load(), q.bounds).Debt(q.Entries())))
+		a.floor.Store(-int64(mtmargin.Of(a.limit.Load(), q.bounds).MaxDebt(q.Entries())))
 		s := q.shardOf(a.name)
 		if need := a.need(now.Sub(q.started), s); need != nil {
 			needs[s] = append(needs[s], need)
--- a/internal/admission/mtrefusal/refusal.go
+++ b/internal/admission/mtrefusal/refusal.go
@@ -28,8 +28,8 @@
 	return &Refusal{code: code, reason: reason, ran: mustardtidev1.Ran_NO}
 }
 
-// From converts a refusal from its wire form; nil gives nil.
-func From(m *mustardtidev1.Refusal) *Refusal {
+// FromMessage converts a refusal from its wire form; nil gives nil.
+func FromMessage(m *mustardtidev1.Refusal) *Refusal {
 	if m == nil {
 		return nil
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// Find returns the refusal in an error's chain, or nil.
-func Find(err error) *Refusal {
+// FromError returns the refusal in an error's chain, or nil.
+func FromError(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
 		return r
@@ -52,26 +52,26 @@
 	return nil
 }
 
-// After returns a copy with the delay after which to retry.
-func (r Refusal) After(delay time.Duration) *Refusal {
+// WithRetryAfter returns a copy with the delay after which to retry.
+func (r Refusal) WithRetryAfter(delay time.Duration) *Refusal {
 	r.retryAfter = delay
 	return &r
 }
 
-// Finally returns a copy that forbids trying another target.
-func (r Refusal) Finally() *Refusal {
+// AsFinal returns a copy that forbids trying another target.
+func (r Refusal) AsFinal() *Refusal {
 	r.final = true
 	return &r
 }
 
-// Having returns a copy with the given value of whether the request ran.
-func (r Refusal) Having(ran mustardtidev1.Ran) *Refusal {
+// WithRan returns a copy with the given value of whether the request ran.
+func (r Refusal) WithRan(ran mustardtidev1.Ran) *Refusal {
 	r.ran = ran
 	return &r
 }
 
-// At returns a copy that names the only target able to answer.
-func (r Refusal) At(target string) *Refusal {
+// WithTarget returns a copy that names the only target able to answer.
+func (r Refusal) WithTarget(target string) *Refusal {
 	r.target = target
 	return &r
 }
@@ -88,8 +88,8 @@
 // Ran returns whether the request reached the program of its target.
 func (r *Refusal) Ran() mustardtidev1.Ran { return r.ran }
 
-// Wait returns the delay after which a new request may succeed, or zero if unknown.
-func (r *Refusal) Wait() time.Duration { return r.retryAfter }
+// RetryAfter returns the delay after which a new request may succeed, or zero if unknown.
+func (r *Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
 // Final reports whether trying another target is forbidden.
 func (r *Refusal) Final() bool { return r.final }
--- a/internal/admission/mtretry/budget.go
+++ b/internal/admission/mtretry/budget.go
@@ -47,9 +47,9 @@
 // New returns a full budget, as a restarted entry may face failures that are already under way.
 func New() *Budget { return &Budget{tokens: maxTokens, refilled: time.Now()} }
 
-// Succeeded adds the retries earned by one successful request. A ratio of zero or below
+// RecordSuccess adds the retries earned by one successful request. A ratio of zero or below
 // stands for the default.
-func (b *Budget) Succeeded(ratio float64) {
+func (b *Budget) RecordSuccess(ratio float64) {
 	if ratio <= 0 {
 		ratio = defaultRetryRatio
 	}
@@ -79,10 +79,10 @@
 	return true
 }
 
-// Pause returns the backoff before the given retry, counted from 1. It is zero if the request
+// Backoff returns the backoff before the given retry, counted from 1. It is zero if the request
 // provably did not run. Otherwise it doubles with each retry and is jittered by half either
 // way, so that a crashed target's batch does not move all at once.
-func Pause(refusal *mtrefusal.Refusal, retry int) time.Duration {
+func Backoff(refusal *mtrefusal.Refusal, retry int) time.Duration {
 	if refusal.Ran() == mustardtidev1.Ran_NO {
 		return 0
 	}
--- a/internal/admission/mtretry/budget_test.go
+++ b/internal/admission/mtretry/budget_test.go
@@ -31,11 +31,11 @@
 		}
 		g.Expect(retried).To(BeNumerically("<=", 50+61), "the saved retries plus one per second")
 		for range 200 {
-			budget.Succeeded(0)
+			budget.RecordSuccess(0)
 		}
 		earned := 0
 		for range 40 {
-			if budget.Allow(full.Having(mustardtidev1.Ran_YES)) {
+			if budget.Allow(full.WithRan(mustardtidev1.Ran_YES)) {
 				earned++
 			}
 		}
--- a/internal/admission/mtreturn/return.go
+++ b/internal/admission/mtreturn/return.go
@@ -26,11 +26,11 @@
 	maxDelay = 10 * time.Second
 )
 
-// After returns the retry delay for a process that has been missing a dependency for the
+// RetryAfter returns the retry delay for a process that has been missing a dependency for the
 // time waited. Beyond outageThreshold that is an outage, which is expected to last about
 // as long again as it already has. The jitter spans half of the delay, so that callers
 // refused together do not retry together.
-func After(waited time.Duration) time.Duration {
+func RetryAfter(waited time.Duration) time.Duration {
 	lowest := minDelay
 	if waited > outageThreshold {
 		lowest = minOutageDelay
--- a/internal/admission/mtreturn/return_test.go
+++ b/internal/admission/mtreturn/return_test.go
@@ -27,7 +27,7 @@
 		}
 		all := int(outage / (10 * time.Millisecond))
 		adaptive := served(func(waited time.Duration) time.Duration {
-			return min(mtreturn.After(waited), 4*time.Second/3)
+			return min(mtreturn.RetryAfter(waited), 4*time.Second/3)
 		})
 		fixed := served(func(time.Duration) time.Duration { return 300 * time.Millisecond })
 		g.Expect(adaptive).To(BeNumerically(">", 2*fixed))
@@ -38,7 +38,7 @@
 // A process that has only just started is ready soon, so the delay is short.
 func TestDelayIsShortAfterStart(t *testing.T) {
 	for range 100 {
-		NewWithT(t).Expect(mtreturn.After(20 * time.Millisecond)).To(BeNumerically("<", 400*time.Millisecond))
+		NewWithT(t).Expect(mtreturn.RetryAfter(20 * time.Millisecond)).To(BeNumerically("<", 400*time.Millisecond))
 	}
 }
 
@@ -47,7 +47,7 @@
 	g := NewWithT(t)
 	lowest, highest := time.Hour, time.Duration(0)
 	for range 300 {
-		retryAfter := mtreturn.After(time.Minute)
+		retryAfter := mtreturn.RetryAfter(time.Minute)
 		lowest, highest = min(lowest, retryAfter), max(highest, retryAfter)
 	}
 	g.Expect(highest).To(BeNumerically("<=", 12500*time.Millisecond))
--- a/internal/admission/mtshed/shed.go
+++ b/internal/admission/mtshed/shed.go
@@ -33,35 +33,35 @@
 // that time.
 const minRetryDelay = 200 * time.Millisecond
 
-// Verdict is the decision on one request.
-type Verdict struct {
+// Decision is the decision on one request.
+type Decision struct {
 	refused    bool
 	retryAfter time.Duration
 }
 
 // Refused reports whether the request is rejected.
-func (v Verdict) Refused() bool { return v.refused }
+func (v Decision) Refused() bool { return v.refused }
 
-// Again returns the delay after which the caller should retry.
-func (v Verdict) Again() time.Duration { return v.retryAfter }
+// RetryAfter returns the delay after which the caller should retry.
+func (v Decision) RetryAfter() time.Duration { return v.retryAfter }
 
 // Decide decides whether to reject a request. Rank 0 is the most urgent. estimate is the time
 // to the first byte on the best target, of which wait is queueing time. left is the time until
 // the caller's deadline, and timeout is the route's.
-func Decide(rank int32, estimate, wait, aim, left, timeout time.Duration) Verdict {
+func Decide(rank int32, estimate, wait, aim, left, timeout time.Duration) Decision {
 	if estimate > left {
 		// The request can't be answered before its deadline, so queueing it is useless.
 		return reject(estimate, aim)
 	}
 	if aim <= 0 || float64(left) < firstAttemptFraction*float64(timeout) {
-		return Verdict{}
+		return Decision{}
 	}
 	limit := otherAimFraction
 	if rank == 0 {
 		limit = urgentAimFraction
 	}
 	if float64(estimate) <= limit*float64(aim) || float64(wait) < minWaitFraction*float64(aim) {
-		return Verdict{}
+		return Decision{}
 	}
 	return reject(estimate, aim)
 }
@@ -69,7 +69,7 @@
 // reject returns a rejection with a retry delay after which the queue should be down to the
 // aim. The delay is jittered by half either way, so that callers rejected together do not
 // retry together.
-func reject(estimate, aim time.Duration) Verdict {
+func reject(estimate, aim time.Duration) Decision {
 	delay := max(minRetryDelay, estimate-aim/2)
-	return Verdict{refused: true, retryAfter: delay/2 + rand.N(delay)}
+	return Decision{refused: true, retryAfter: delay/2 + rand.N(delay)}
 }
--- a/internal/admission/mtshed/shed_test.go
+++ b/internal/admission/mtshed/shed_test.go
@@ -15,7 +15,7 @@
 	timeout = 6 * time.Second
 )
 
-func decide(rank int32, estimate, wait, left time.Duration) mtshed.Verdict {
+func decide(rank int32, estimate, wait, left time.Duration) mtshed.Decision {
 	return mtshed.Decide(rank, estimate, wait, aim, left, timeout)
 }
 
@@ -52,7 +52,7 @@
 	g := NewWithT(t)
 	first, last := timeout, time.Duration(0)
 	for range 200 {
-		retryAfter := decide(1, 1200*time.Millisecond, 900*time.Millisecond, timeout).Again()
+		retryAfter := decide(1, 1200*time.Millisecond, 900*time.Millisecond, timeout).RetryAfter()
 		first, last = min(first, retryAfter), max(last, retryAfter)
 	}
 	g.Expect(first).To(BeNumerically(">=", 100*time.Millisecond))
--- a/internal/admission/mtstart/start.go
+++ b/internal/admission/mtstart/start.go
@@ -23,8 +23,8 @@
 	waitDivisor = 4
 )
 
-// Start tracks the start-up of one process. It is safe for concurrent use.
-type Start struct {
+// Startup tracks the start-up of one process. It is safe for concurrent use.
+type Startup struct {
 	ready    func() bool
 	deadline time.Time
 
@@ -34,13 +34,13 @@
 
 // New returns a start that begins now. ready reports whether the process knows enough to
 // serve requests.
-func New(ready func() bool) *Start {
-	return &Start{ready: ready, deadline: time.Now().Add(maxStartTime), changed: make(chan struct{})}
+func New(ready func() bool) *Startup {
+	return &Startup{ready: ready, deadline: time.Now().Add(maxStartTime), changed: make(chan struct{})}
 }
 
-// Tell makes waiting requests check readiness again. It does nothing once the start-up
+// NotifyChange makes waiting requests check readiness again. It does nothing once the start-up
 // period is over, as no request waits any more.
-func (s *Start) Tell() {
+func (s *Startup) NotifyChange() {
 	if time.Now().After(s.deadline) {
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 // nextChange returns a channel that is closed at the next notification.
-func (s *Start) nextChange() <-chan struct{} {
+func (s *Startup) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
@@ -59,7 +59,7 @@
 
 // Await returns when the process is ready, when ctx ends, or when the wait limit is reached.
 // left is the time until the caller's deadline.
-func (s *Start) Await(ctx context.Context, left time.Duration) {
+func (s *Startup) Await(ctx context.Context, left time.Duration) {
 	wait := min(time.Until(s.deadline), maxWait, left/waitDivisor)
 	if wait <= 0 || s.ready() {
 		return
--- a/internal/admission/mtstart/start_test.go
+++ b/internal/admission/mtstart/start_test.go
@@ -16,7 +16,7 @@
 
 // entry is a simulated entry that is starting.
 type entry struct {
-	start   *mtstart.Start
+	start   *mtstart.Startup
 	started time.Time
 	ready   atomic.Bool
 }
@@ -29,7 +29,7 @@
 		e.start = mtstart.New(e.ready.Load)
 		time.AfterFunc(100*time.Millisecond+time.Duration(random.IntN(1200))*time.Millisecond, func() {
 			e.ready.Store(true)
-			e.start.Tell()
+			e.start.NotifyChange()
 		})
 		list = append(list, e)
 	}
@@ -48,7 +48,7 @@
 		if e.ready.Load() {
 			return true
 		}
-		time.Sleep(min(mtreturn.After(time.Since(e.started)), time.Until(expires)/3))
+		time.Sleep(min(mtreturn.RetryAfter(time.Since(e.started)), time.Until(expires)/3))
 	}
 	return false
 }
--- a/internal/admission/mtstreams/streams.go
+++ b/internal/admission/mtstreams/streams.go
@@ -24,38 +24,38 @@
 	answerTime = time.Second
 )
 
-// Streams counts the concurrent requests of each account at one entry. It is safe for
+// Limiter counts the concurrent requests of each account at one entry. It is safe for
 // concurrent use; a decision takes no lock.
-type Streams struct {
+type Limiter struct {
 	// counters holds a counter for each account name. Counters are never removed.
 	counters sync.Map
 }
 
 // New returns a limiter without requests.
-func New() *Streams { return &Streams{} }
+func New() *Limiter { return &Limiter{} }
 
-// Enter counts one request of an account. It returns a refusal, and counts nothing, if the
+// Acquire counts one request of an account. It returns a refusal, and counts nothing, if the
 // account is at its limit. Otherwise the request must be released at its end with the same
 // account.
-func (s *Streams) Enter(account *mustardtidev1.Account) *mtrefusal.Refusal {
+func (s *Limiter) Acquire(account *mustardtidev1.Account) *mtrefusal.Refusal {
 	if account.GetStreams() == 0 {
 		return nil
 	}
 	if counter := s.counter(account); counter.Add(1) > int64(account.GetStreams()) {
 		counter.Add(-1)
-		return mtrefusal.New(mtcode.StreamsExceeded, account.GetName()).After(answerTime + rand.N(retryJitter))
+		return mtrefusal.New(mtcode.StreamsExceeded, account.GetName()).WithRetryAfter(answerTime + rand.N(retryJitter))
 	}
 	return nil
 }
 
-// Leave releases a request that was counted.
-func (s *Streams) Leave(account *mustardtidev1.Account) {
+// Release releases a request that was counted.
+func (s *Limiter) Release(account *mustardtidev1.Account) {
 	if account.GetStreams() > 0 {
 		s.counter(account).Add(-1)
 	}
 }
 
-func (s *Streams) counter(account *mustardtidev1.Account) *atomic.Int64 {
+func (s *Limiter) counter(account *mustardtidev1.Account) *atomic.Int64 {
 	found, known := s.counters.Load(account.GetName())
 	if !known {
 		found, _ = s.counters.LoadOrStore(account.GetName(), &atomic.Int64{})
--- a/internal/admission/mtstreams/streams_test.go
+++ b/internal/admission/mtstreams/streams_test.go
@@ -17,13 +17,13 @@
 	streams := mtstreams.New()
 	account := &mustardtidev1.Account{Name: "schools", Streams: proto.Uint32(3)}
 	for range 3 {
-		g.Expect(admitted(streams.Enter(account))).To(BeTrue())
+		g.Expect(admitted(streams.Acquire(account))).To(BeTrue())
 	}
-	refusal := streams.Enter(account)
+	refusal := streams.Acquire(account)
 	g.Expect(refusal.Code()).To(Equal(mtcode.StreamsExceeded))
-	g.Expect(refusal.Wait()).To(BeNumerically(">", 0))
-	streams.Leave(account)
-	g.Expect(admitted(streams.Enter(account))).To(BeTrue())
+	g.Expect(refusal.RetryAfter()).To(BeNumerically(">", 0))
+	streams.Release(account)
+	g.Expect(admitted(streams.Acquire(account))).To(BeTrue())
 }
 
 func admitted(refusal *mtrefusal.Refusal) bool { return refusal == nil }
--- a/internal/command/mtoperator/order.go
+++ b/internal/command/mtoperator/order.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return lease.Number(), trace.ConnectionProblem(err, "%s did not answer; order %d may be carried out", name, lease.Number())
 	}
-	if refusal := mtrefusal.From(reply.Msg.GetRefusal()); refusal != nil {
+	if refusal := mtrefusal.FromMessage(reply.Msg.GetRefusal()); refusal != nil {
 		return lease.Number(), trace.Wrap(refusal)
 	}
 	return lease.Number(), nil
--- a/internal/lab/mtfake/target.go
+++ b/internal/lab/mtfake/target.go
@@ -84,7 +84,7 @@
 		}, nil),
 		jobs: map[string]*job{},
 	}
-	t.view.Start(incarnation)
+	t.view.SetIncarnation(incarnation)
 	t.view.Open(incarnation)
 	return t
 }
@@ -116,7 +116,7 @@
 
 // Promised is the tokens of a chain that the sidecar expects to be cached.
 func (t *Target) Promised(chain mtchain.Chain) uint64 {
-	return uint64(t.view.Promise(chain) * mtrequest.SpanTokens)
+	return uint64(t.view.MatchWithPending(chain) * mtrequest.SpanTokens)
 }
 
 // State is the sidecar's word.
@@ -157,7 +157,7 @@
 		a.Refuse()
 		return
 	}
-	t.jobs[work.GetRun()] = &job{request: r, work: work, answer: a, plan: t.view.Plan(r.Chain())}
+	t.jobs[work.GetRun()] = &job{request: r, work: work, answer: a, plan: t.view.AddPending(r.Chain())}
 	t.step()
 }
 
--- a/internal/lab/mtrequest/request.go
+++ b/internal/lab/mtrequest/request.go
@@ -50,17 +50,17 @@
 // length in marks.
 func Chain(salt string, names []uint64, lengths []int) mtchain.Chain {
 	var marks []byte
-	link := mtchain.Root(salt)
+	link := mtchain.RootHash(salt)
 	for i, name := range names {
 		for j := range lengths[i] {
 			var granule [16]byte
 			binary.LittleEndian.PutUint64(granule[:8], name)
 			binary.LittleEndian.PutUint64(granule[8:], uint64(j))
-			link = mtchain.Next(link, granule[:])
+			link = mtchain.NextHash(link, granule[:])
 			marks = append(marks, link[:]...)
 		}
 	}
-	return mtchain.From(marks, spanBytes)
+	return mtchain.FromBytes(marks, spanBytes)
 }
 
 // At is the time of arrival at the caller.
--- a/internal/members/mtlease/lease.go
+++ b/internal/members/mtlease/lease.go
@@ -146,5 +146,5 @@
 }
 
 func lost(holder string) error {
-	return trace.Wrap(mtrefusal.New(mtcode.LeaseLost, "held by "+holder).After(TTL))
+	return trace.Wrap(mtrefusal.New(mtcode.LeaseLost, "held by "+holder).WithRetryAfter(TTL))
 }
--- a/internal/members/mtorder/gate.go
+++ b/internal/members/mtorder/gate.go
@@ -33,7 +33,7 @@
 		return mtrefusal.New(mtcode.PlatformDown, "the target's lease can't be read")
 	}
 	if number < g.highest {
-		return mtrefusal.New(mtcode.OrderFenced, fmt.Sprintf("order %d came after order %d", number, g.highest)).Finally()
+		return mtrefusal.New(mtcode.OrderFenced, fmt.Sprintf("order %d came after order %d", number, g.highest)).AsFinal()
 	}
 	g.highest = number
 	return nil
--- a/internal/members/mtpermit/permit.go
+++ b/internal/members/mtpermit/permit.go
@@ -73,7 +73,7 @@
 func (p *Permits) Take(ctx context.Context, limit int) error {
 	return p.change(ctx, func(others []*mustardtidev1.Permit) ([]*mustardtidev1.Permit, error) {
 		if len(others) >= limit {
-			return nil, trace.Wrap(mtrefusal.New(mtcode.PermitBusy, p.service).After(comeBack))
+			return nil, trace.Wrap(mtrefusal.New(mtcode.PermitBusy, p.service).WithRetryAfter(comeBack))
 		}
 		return append(others, &mustardtidev1.Permit{Target: p.target, Turn: rand.Text()}), nil
 	})
--- a/internal/members/mtpermit/permit_test.go
+++ b/internal/members/mtpermit/permit_test.go
@@ -63,7 +63,7 @@
 		hanging := mtpermit.New(store, "trip", "trip-1", isListed)
 		next := mtpermit.New(store, "trip", "trip-2", isListed)
 		busy := func() bool {
-			refusal := mtrefusal.Find(next.Take(ctx, 2))
+			refusal := mtrefusal.FromError(next.Take(ctx, 2))
 			return refusal != nil && refusal.Code() == mtcode.PermitBusy
 		}
 		g.Expect(replaced.Take(ctx, 2)).To(Succeed())
--- a/internal/outside/mtcaller/completion.go
+++ b/internal/outside/mtcaller/completion.go
@@ -34,10 +34,10 @@
 func (r *Request) model() (*Request, error) {
 	path := r.http.URL.Path
 	if path != pathChat && path != pathCompletion {
-		return nil, mtrefusal.New(mtcode.UnknownPath, path).Finally()
+		return nil, mtrefusal.New(mtcode.UnknownPath, path).AsFinal()
 	}
 	if r.http.Method != http.MethodPost {
-		return nil, mtrefusal.New(mtcode.BadMethod, r.http.Method).Finally()
+		return nil, mtrefusal.New(mtcode.BadMethod, r.http.Method).AsFinal()
 	}
 	if err := json.Unmarshal(r.body, &r.fields); err != nil {
 		return nil, badBody(err.Error())
@@ -94,5 +94,5 @@
 }
 
 func badBody(reason string) error {
-	return mtrefusal.New(mtcode.BadBody, reason).Finally()
+	return mtrefusal.New(mtcode.BadBody, reason).AsFinal()
 }
--- a/internal/outside/mtcaller/fuzz_test.go
+++ b/internal/outside/mtcaller/fuzz_test.go
@@ -43,7 +43,7 @@
 			g.Expect(string(read.Body())).To(Equal(body))
 			return
 		}
-		refusal := mtrefusal.Find(err)
+		refusal := mtrefusal.FromError(err)
 		g.Expect(refusal).To(HaveOccurred())
 		g.Expect(refusal.Code().Known()).To(BeTrue())
 		g.Expect(refusal.Final()).To(BeTrue())
--- a/internal/outside/mtcaller/refusal.go
+++ b/internal/outside/mtcaller/refusal.go
@@ -36,8 +36,8 @@
 	if run != "" {
 		header.Set(HeaderRun, run)
 	}
-	if refusal.Wait() > 0 {
-		header.Set("Retry-After", strconv.Itoa(seconds(refusal.Wait())))
+	if refusal.RetryAfter() > 0 {
+		header.Set("Retry-After", strconv.Itoa(seconds(refusal.RetryAfter())))
 	}
 	w.WriteHeader(refusal.Code().Status())
 	_ = json.NewEncoder(w).Encode(body(run, refusal))
@@ -63,8 +63,8 @@
 		Ran:     ranWord(refusal.Ran()),
 		Next:    refusal.Code().Next(),
 	}
-	if refusal.Wait() > 0 {
-		p.After = refusal.Wait().Round(time.Millisecond).String()
+	if refusal.RetryAfter() > 0 {
+		p.After = refusal.RetryAfter().Round(time.Millisecond).String()
 	}
 	return problem{Error: p}
 }
--- a/internal/outside/mtcaller/request.go
+++ b/internal/outside/mtcaller/request.go
@@ -53,7 +53,7 @@
 	if !r.ProtoAtLeast(1, 1) {
 		// HTTP/1.0 ends a body by closing the connection: an answer that broke
 		// off would look whole.
-		return nil, mtrefusal.New(mtcode.BadProtocol, r.Proto).Finally()
+		return nil, mtrefusal.New(mtcode.BadProtocol, r.Proto).AsFinal()
 	}
 	request := &Request{http: r}
 	body, err := readBody(http.MaxBytesReader(w, r.Body, limit), r.ContentLength, limit)
@@ -113,7 +113,7 @@
 	}
 	deadline, err := time.ParseDuration(text)
 	if err != nil || deadline <= 0 {
-		return 0, mtrefusal.New(mtcode.BadDeadline, text).Finally()
+		return 0, mtrefusal.New(mtcode.BadDeadline, text).AsFinal()
 	}
 	return deadline, nil
 }
@@ -147,10 +147,10 @@
 func bodyRefusal(err error) error {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return mtrefusal.New(mtcode.BodyTooLarge, err.Error()).Finally()
+		return mtrefusal.New(mtcode.BodyTooLarge, err.Error()).AsFinal()
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return mtrefusal.New(mtcode.SlowBody, "").Finally()
+		return mtrefusal.New(mtcode.SlowBody, "").AsFinal()
 	}
-	return mtrefusal.New(mtcode.BadBody, err.Error()).Finally()
+	return mtrefusal.New(mtcode.BadBody, err.Error()).AsFinal()
 }
--- a/internal/outside/mtengine/answer.go
+++ b/internal/outside/mtengine/answer.go
@@ -102,7 +102,7 @@
 		return bad("a broken event: " + err.Error())
 	}
 	if len(p.Error) > 0 {
-		return mtrefusal.New(mtcode.TargetRefused, string(p.Error[:min(len(p.Error), errorBody)])).Having(mustardtidev1.Ran_YES)
+		return mtrefusal.New(mtcode.TargetRefused, string(p.Error[:min(len(p.Error), errorBody)])).WithRan(mustardtidev1.Ran_YES)
 	}
 	if err := mine.check(p.ID); err != nil {
 		return err
@@ -139,7 +139,7 @@
 }
 
 func bad(reason string) error {
-	return mtrefusal.New(mtcode.BadTargetAnswer, reason).Having(mustardtidev1.Ran_YES)
+	return mtrefusal.New(mtcode.BadTargetAnswer, reason).WithRan(mustardtidev1.Ran_YES)
 }
 
 func event(data []byte) []byte {
--- a/internal/outside/mtengine/engine.go
+++ b/internal/outside/mtengine/engine.go
@@ -83,7 +83,7 @@
 		return nil, trace.ConnectionProblem(err, "the engine's answer broke off")
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		return nil, mtrefusal.New(mtcode.TargetRefused, response.Status).Having(mustardtidev1.Ran_UNKNOWN)
+		return nil, mtrefusal.New(mtcode.TargetRefused, response.Status).WithRan(mustardtidev1.Ran_UNKNOWN)
 	}
 	if err := emit(headFrame(response)); err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/outside/mtengine/labels.go
+++ b/internal/outside/mtengine/labels.go
@@ -46,14 +46,14 @@
 func (l *labels) store(e *cacheEvent, each func([mtchain.MarkSize]byte)) {
 	at, known := l.links[e.Parent]
 	if e.Parent == 0 {
-		at, known = link{hash: mtchain.Root(e.Salt)}, true
+		at, known = link{hash: mtchain.RootHash(e.Salt)}, true
 	}
 	text := detokenize(e.Tokens)
 	if !known || len(text) < len(e.Hashes)*l.granule {
 		return
 	}
 	for i, block := range e.Hashes {
-		at = link{hash: mtchain.Next(at.hash, text[i*l.granule:(i+1)*l.granule]), depth: at.depth + 1}
+		at = link{hash: mtchain.NextHash(at.hash, text[i*l.granule:(i+1)*l.granule]), depth: at.depth + 1}
 		l.links[block] = at
 		if at.depth%l.stride == 0 {
 			each(at.hash)
--- a/internal/outside/mtengine/owner.go
+++ b/internal/outside/mtengine/owner.go
@@ -67,7 +67,7 @@
 		o.see(id)
 		return nil
 	}
-	return mtrefusal.New(mtcode.BadTargetAnswer, "the engine's answer has the id "+id).Having(mustardtidev1.Ran_UNKNOWN)
+	return mtrefusal.New(mtcode.BadTargetAnswer, "the engine's answer has the id "+id).WithRan(mustardtidev1.Ran_UNKNOWN)
 }
 
 func (o *owner) see(id string) {
--- a/internal/placement/mthomes/homes_test.go
+++ b/internal/placement/mthomes/homes_test.go
@@ -22,7 +22,7 @@
 func mark(i int) [mtchain.MarkSize]byte {
 	var granule [8]byte
 	binary.LittleEndian.PutUint64(granule[:], uint64(i))
-	return mtchain.Next(mtchain.Root("salt"), granule[:])
+	return mtchain.NextHash(mtchain.RootHash("salt"), granule[:])
 }
 
 // Guards against prefixes that change their home although it is still there when
--- a/internal/placement/mtplace/choose.go
+++ b/internal/placement/mtplace/choose.go
@@ -94,7 +94,7 @@
 		}
 		for _, id := range targets {
 			if t := f.byID[id]; t != nil && t.Usable() {
-				c.AddRemembered(t, uint64(depth*chain.Span()/mtchain.TokenBytes))
+				c.AddRemembered(t, uint64(depth*chain.Span()/mtchain.BytesPerToken))
 			}
 		}
 		if c.Len() > 0 {
@@ -182,7 +182,7 @@
 
 // isHolder reports whether a candidate has cached enough of the prompt.
 func isHolder(c *mtchoice.Choice, i int) bool {
-	return c.Matched(i) > 0 && c.Matched(i) >= uint64(c.Least()*c.Chain().Span()/mtchain.TokenBytes)
+	return c.Matched(i) > 0 && c.Matched(i) >= uint64(c.Least()*c.Chain().Span()/mtchain.BytesPerToken)
 }
 
 // updateScores computes the scores of all candidates.
--- a/internal/placement/mtplace/learn.go
+++ b/internal/placement/mtplace/learn.go
@@ -49,7 +49,7 @@
 	if t == nil {
 		return
 	}
-	for depth := chain.Len(); depth*chain.Span()/mtchain.TokenBytes > int(matched); depth = below(depth) {
+	for depth := chain.Len(); depth*chain.Span()/mtchain.BytesPerToken > int(matched); depth = below(depth) {
 		p.memory.Forget(chain.At(depth-1), t.ID())
 	}
 }
--- a/internal/placement/mtwiden/widen_test.go
+++ b/internal/placement/mtwiden/widen_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := mtwiden.New()
-		mark := mtchain.Root("dossier")
+		mark := mtchain.RootHash("dossier")
 		const cost = time.Second
 		for range 100 {
 			w.Waited(mark, 3*cost, cost)
--- a/internal/prefix/mtchain/chain.go
+++ b/internal/prefix/mtchain/chain.go
@@ -16,9 +16,9 @@
 // MarkSize is the size of a mark in bytes.
 const MarkSize = 16
 
-// TokenBytes is the assumed number of prompt bytes per token. It is used to estimate tokens
+// BytesPerToken is the assumed number of prompt bytes per token. It is used to estimate tokens
 // that the engine has not counted yet.
-const TokenBytes = 4
+const BytesPerToken = 4
 
 // Chain holds the marks of one prompt, shortest prefix first. It is immutable.
 type Chain struct {
@@ -50,8 +50,8 @@
 	return Chain{marks: buffer, span: span}
 }
 
-// From returns the chain with the given wire form. span is the number of prompt bytes per mark.
-func From(marks []byte, span int) Chain {
+// FromBytes returns the chain with the given wire form. span is the number of prompt bytes per mark.
+func FromBytes(marks []byte, span int) Chain {
 	return Chain{marks: marks[:len(marks)/MarkSize*MarkSize], span: span}
 }
 
@@ -62,13 +62,13 @@
 	return account + separator + model + separator + weights + separator + adapter
 }
 
-// Root returns the hash that precedes the first granule.
-func Root(salt string) [MarkSize]byte {
+// RootHash returns the hash that precedes the first granule.
+func RootHash(salt string) [MarkSize]byte {
 	return xxh3.HashString128(salt).Bytes()
 }
 
-// Next returns the hash of a granule, given the hash of the previous granule.
-func Next(hash [MarkSize]byte, granule []byte) [MarkSize]byte {
+// NextHash returns the hash of a granule, given the hash of the previous granule.
+func NextHash(hash [MarkSize]byte, granule []byte) [MarkSize]byte {
 	previous := xxh3.Uint128{Hi: binary.BigEndian.Uint64(hash[:8]), Lo: binary.BigEndian.Uint64(hash[8:])}
 	return hashGranule(previous, granule).Bytes()
 }
--- a/internal/prefix/mtchain/chain_test.go
+++ b/internal/prefix/mtchain/chain_test.go
@@ -16,9 +16,9 @@
 	prompt := bytes.Repeat([]byte("Every slip is signed by one parent. "), 300)
 	chain := mtchain.New("salt", 64, 16, prompt)
 	g.Expect(chain.Len()).To(Equal(len(prompt) / 1024))
-	hash := mtchain.Root("salt")
+	hash := mtchain.RootHash("salt")
 	for i := range chain.Len() * 16 {
-		hash = mtchain.Next(hash, prompt[i*64:(i+1)*64])
+		hash = mtchain.NextHash(hash, prompt[i*64:(i+1)*64])
 		if (i+1)%16 == 0 {
 			g.Expect(chain.At(i / 16)).To(Equal(hash))
 		}
--- a/internal/prefix/mtheld/log.go
+++ b/internal/prefix/mtheld/log.go
@@ -52,8 +52,8 @@
 	l.order.Init()
 }
 
-// Put records one change.
-func (l *Log) Put(held *fleetv1.Held) {
+// Record records one change.
+func (l *Log) Record(held *fleetv1.Held) {
 	l.lastNumber++
 	k := key{held.GetSalt(), held.GetPart()}
 	if old := l.elements[k]; old != nil {
@@ -80,10 +80,10 @@
 	return found
 }
 
-// Fill adds to a state the changes after change number since of an epoch, which is the
+// AppendChanges adds to a state the changes after change number since of an epoch, which is the
 // last one that the receiver knows. If some of them have been dropped, it starts from the
 // beginning.
-func (l *Log) Fill(state *fleetv1.State, epoch int64, since uint64) {
+func (l *Log) AppendChanges(state *fleetv1.State, epoch int64, since uint64) {
 	if epoch != l.epoch || since > l.lastNumber {
 		since = 0
 	}
--- a/internal/prefix/mtheld/log_test.go
+++ b/internal/prefix/mtheld/log_test.go
@@ -50,14 +50,14 @@
 				cached = map[string]int64{}
 			case 1, 2, 3:
 				state := &fleetv1.State{}
-				log.Fill(state, r.epoch, r.upto)
+				log.AppendChanges(state, r.epoch, r.upto)
 				if rapid.Bool().Draw(t, "arrives") {
 					r.apply(state)
 				}
 			default:
 				part := fmt.Sprint("p", rapid.IntRange(0, 60).Draw(t, "part"))
 				tokens := int64(rapid.IntRange(0, 2).Draw(t, "tokens"))
-				log.Put(&fleetv1.Held{Salt: "s", Part: part, Tokens: tokens})
+				log.Record(&fleetv1.Held{Salt: "s", Part: part, Tokens: tokens})
 				if tokens == 0 {
 					delete(cached, part)
 				} else {
@@ -67,7 +67,7 @@
 		}
 		for range 30 {
 			state := &fleetv1.State{}
-			log.Fill(state, r.epoch, r.upto)
+			log.AppendChanges(state, r.epoch, r.upto)
 			r.apply(state)
 			if !state.GetMore() {
 				break
@@ -89,10 +89,10 @@
 	g := NewWithT(t)
 	log := mtheld.New()
 	for i := range 100 {
-		log.Put(&fleetv1.Held{Salt: "model-with-a-long-name@123@account-name", Part: fmt.Sprintf("%012x", i), Tokens: 12345})
+		log.Record(&fleetv1.Held{Salt: "model-with-a-long-name@123@account-name", Part: fmt.Sprintf("%012x", i), Tokens: 12345})
 	}
 	state := &fleetv1.State{}
-	log.Fill(state, 0, 0)
+	log.AppendChanges(state, 0, 0)
 	g.Expect(state.GetMore()).To(BeTrue())
 	g.Expect(len(state.String())).To(BeNumerically("<", 2400))
 }
@@ -103,16 +103,16 @@
 	g := NewWithT(t)
 	log := mtheld.New()
 	r := &reader{parts: map[string]int64{}}
-	log.Put(&fleetv1.Held{Salt: "s", Part: "p", Tokens: 1})
+	log.Record(&fleetv1.Held{Salt: "s", Part: "p", Tokens: 1})
 	for range 2 {
 		state := &fleetv1.State{}
-		log.Fill(state, r.epoch, r.upto)
+		log.AppendChanges(state, r.epoch, r.upto)
 		r.apply(state)
 	}
 	g.Expect(r.parts).To(HaveLen(1))
 	log.Clear()
 	state := &fleetv1.State{}
-	log.Fill(state, r.epoch, r.upto)
+	log.AppendChanges(state, r.epoch, r.upto)
 	r.apply(state)
 	g.Expect(r.parts).To(BeEmpty())
 }
--- a/internal/prefix/mtview/plan.go
+++ b/internal/prefix/mtview/plan.go
@@ -24,14 +24,14 @@
 	removed bool
 }
 
-// Plan records that a request with this chain was accepted: the target will have cached
+// AddPending records that a request with this chain was accepted: the target will have cached
 // the chain before it computes a later request. Without it a burst of requests with an
 // uncached prompt, whose cache events have not arrived yet, is scattered over the
 // targets.
 //
 // The returned function must be called at the end of the request. It reports whether the view of
 // the chain was reliable throughout: the view was not reset and lost none of the chain's marks.
-func (v *View) Plan(chain mtchain.Chain) (done func() bool) {
+func (v *View) AddPending(chain mtchain.Chain) (done func() bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	generation := v.generation
@@ -68,9 +68,9 @@
 	return reliable
 }
 
-// Promise returns the number of leading marks of a chain that the target has cached or
+// MatchWithPending returns the number of leading marks of a chain that the target has cached or
 // will have cached once earlier requests are computed.
-func (v *View) Promise(chain mtchain.Chain) int {
+func (v *View) MatchWithPending(chain mtchain.Chain) int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	now := time.Now()
@@ -83,10 +83,10 @@
 	return chain.Len()
 }
 
-// Learn records that a run of an incarnation computed a whole chain. After a gap in the
+// AddComputed records that a run of an incarnation computed a whole chain. After a gap in the
 // events, blocks with unknown parents can't be labelled, so without this the view would
 // miss prefixes that are requested all the time.
-func (v *View) Learn(incarnation string, chain mtchain.Chain) {
+func (v *View) AddComputed(incarnation string, chain mtchain.Chain) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if incarnation != v.incarnation || !v.open {
@@ -103,11 +103,11 @@
 	}
 }
 
-// Judge compares the number of marks that the view held for a run with the number that
+// CheckMatch compares the number of marks that the view held for a run with the number that
 // the target found. After several consecutive runs that found fewer, it resets the view
 // and returns true: removals were lost without a visible gap, and it is unknown which
 // other marks are stale.
-func (v *View) Judge(expected, found int) bool {
+func (v *View) CheckMatch(expected, found int) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if found >= expected {
--- a/internal/prefix/mtview/view.go
+++ b/internal/prefix/mtview/view.go
@@ -30,10 +30,10 @@
 	}
 }
 
-// Start resets the view for a new incarnation. The cache of a target that died is gone,
+// SetIncarnation resets the view for a new incarnation. The cache of a target that died is gone,
 // and a stale mark would count work as cached that must be done again. It reports whether
 // the incarnation is new.
-func (v *View) Start(incarnation string) bool {
+func (v *View) SetIncarnation(incarnation string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.incarnation == incarnation {
@@ -71,8 +71,8 @@
 	return v.incarnation
 }
 
-// Void resets the view after a gap in the events, as marks removed during the gap are unknown.
-func (v *View) Void() {
+// Invalidate resets the view after a gap in the events, as marks removed during the gap are unknown.
+func (v *View) Invalidate() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.reset()
--- a/internal/prefix/mtview/view_bench_test.go
+++ b/internal/prefix/mtview/view_bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkView(b *testing.B) {
 	const marks = 78000
 	view := mtview.New()
-	view.Start("1")
+	view.SetIncarnation("1")
 	view.Open("1")
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/relay/mtbeside/cache.go
+++ b/internal/relay/mtbeside/cache.go
@@ -37,7 +37,7 @@
 				s.held.Clear()
 			}
 			for _, change := range events.GetChanges() {
-				s.held.Put(change)
+				s.held.Record(change)
 			}
 			s.mu.Unlock()
 			epoch, since = events.GetEpoch(), events.GetNext()
--- a/internal/relay/mtbeside/tell.go
+++ b/internal/relay/mtbeside/tell.go
@@ -103,7 +103,7 @@
 		if hello.GetBare() {
 			return append(states, state)
 		}
-		s.held.Fill(state, epoch, since)
+		s.held.AppendChanges(state, epoch, since)
 		states = append(states, state)
 		if !state.GetMore() {
 			break
--- a/internal/relay/mtfront/digest.go
+++ b/internal/relay/mtfront/digest.go
@@ -93,7 +93,7 @@
 		digest.Peers, digest.Named = f.peers.fresh(toldPeers), f.board.NewestWeights()
 	}
 	if closing := f.closing.Load(); closing != nil {
-		digest.Left = durationpb.New(max(0, closing.Left(time.Now())))
+		digest.Left = durationpb.New(max(0, closing.Remaining(time.Now())))
 	}
 	mtdigest.Fit(digest, digestSize)
 	return digest
--- a/internal/relay/mtfront/drain.go
+++ b/internal/relay/mtfront/drain.go
@@ -55,9 +55,9 @@
 	case takingShort:
 		closing := r.front.closing.Load()
 		if r.service.GetModel() == "" {
-			return closing.Takes(r.until)
+			return closing.Accepts(r.until)
 		}
-		return closing.TakesAnswer(time.Now(), r.until, r.ask.GetOutput())
+		return closing.AcceptsAnswer(time.Now(), r.until, r.ask.GetOutput())
 	default:
 		return true
 	}
@@ -83,7 +83,7 @@
 
 // Stop turns the entry unready: answers from now on close their connections.
 func (f *Front) Stop() {
-	closing := mtclosing.Until(time.Now().Add(f.site.GetBounds().GetGrace().AsDuration()))
+	closing := mtclosing.EndingAt(time.Now().Add(f.site.GetBounds().GetGrace().AsDuration()))
 	if f.closing.CompareAndSwap(nil, &closing) {
 		f.trail.Say(mtkind.FleetStopping, zap.Int64("live", f.Live()))
 		f.alarm()
--- a/internal/relay/mtfront/front.go
+++ b/internal/relay/mtfront/front.go
@@ -49,7 +49,7 @@
 // Front is the entry's state.
 type Front struct {
 	begun    time.Time
-	start    *mtstart.Start
+	start    *mtstart.Startup
 	site     *fleetv1.Site
 	store    *mtobjects.Client
 	network  *mtnet.Net
@@ -91,7 +91,7 @@
 	// weightsListed says that weights had been named before this entry could see it.
 	weightsListed atomic.Bool
 	// closing is set once the entry is told to stop.
-	closing atomic.Pointer[mtclosing.Closing]
+	closing atomic.Pointer[mtclosing.Shutdown]
 	// taking holds one of the values of that type.
 	taking atomic.Int32
 	// live counts the requests under way that were taken while the entry took
--- a/internal/relay/mtfront/know.go
+++ b/internal/relay/mtfront/know.go
@@ -188,7 +188,7 @@
 	f.digest()
 	if old == nil {
 		f.hurry()
-		f.start.Tell()
+		f.start.NotifyChange()
 	}
 }
 
@@ -264,7 +264,7 @@
 	f.board.UpdateTargets(view.All(), view.Replaced)
 	f.builds.See(view.All(), view.Complete() > 0)
 	f.digest()
-	f.start.Tell()
+	f.start.NotifyChange()
 	if !f.greeted.Load() {
 		f.hurry()
 	}
--- a/internal/relay/mtfront/pages.go
+++ b/internal/relay/mtfront/pages.go
@@ -48,7 +48,7 @@
 	}
 	view := f.roster.View()
 	f.board.UpdateTargets(view.All(), view.Replaced)
-	f.start.Tell()
+	f.start.NotifyChange()
 }
 
 // tellTargets logs what a complete list changes. The first is one line and one for each
--- a/internal/relay/mtfront/serve.go
+++ b/internal/relay/mtfront/serve.go
@@ -115,7 +115,7 @@
 		return
 	}
 	if !r.takes(ctx) {
-		r.reject("this entry is about to stop", f.closing.Load().Again(time.Now(), f.peers.ends()))
+		r.reject("this entry is about to stop", f.closing.Load().RetryAfter(time.Now(), f.peers.ends()))
 		return
 	}
 	if !f.suspects.Empty() && f.suspects.Banned(r.fingerprint()) {
@@ -153,7 +153,7 @@
 func (r *request) resolve() bool {
 	catalog := r.front.catalog.Load()
 	if catalog == nil {
-		r.reject("no configuration is known yet", mtreturn.After(time.Since(r.front.begun)))
+		r.reject("no configuration is known yet", mtreturn.RetryAfter(time.Since(r.front.begun)))
 		return false
 	}
 	path, _, _ := strings.Cut(r.uri, "?")
@@ -255,7 +255,7 @@
 		}
 		if verdict := r.judge(choice); verdict.Refused() {
 			choice.End(mtboard.Abandoned{})
-			r.reject(fmt.Sprintf("overloaded: the best target would begin to answer after %v", choice.Estimate().Round(time.Millisecond)), verdict.Again(),
+			r.reject(fmt.Sprintf("overloaded: the best target would begin to answer after %v", choice.Estimate().Round(time.Millisecond)), verdict.RetryAfter(),
 				zap.String("target", choice.Target()), zap.Duration("wait", choice.QueueTime()), zap.Duration("aim", r.route.GetAim().AsDuration()),
 				zap.String("next", choice.RunnersUp()), zap.String("unfit", choice.Unfit()))
 			return
@@ -285,9 +285,9 @@
 // judge decides whether the request is sent away for now. What has run in part, here or at an
 // earlier attempt of the caller, is not, nor anything while the engines' speed is a guess: an
 // idle one would refuse.
-func (r *request) judge(choice *mtboard.Choice) mtshed.Verdict {
+func (r *request) judge(choice *mtboard.Choice) mtshed.Decision {
 	if r.delivered != nil || r.origin != nil || r.tries > 0 || !choice.EstimateReliable() || r.front.without.shedding {
-		return mtshed.Verdict{}
+		return mtshed.Decision{}
 	}
 	return mtshed.Decide(r.rank(), choice.Estimate(), choice.QueueTime(), r.route.GetAim().AsDuration(), time.Until(r.until), r.route.GetTimeout().AsDuration())
 }
--- a/internal/request/mtclaim/claims.go
+++ b/internal/request/mtclaim/claims.go
@@ -101,5 +101,5 @@
 }
 
 func refuse(cause string) error {
-	return trace.Wrap(mtrefusal.New(mtcode.ClaimFailed, cause).After(afterLeast + rand.N(afterSpread)))
+	return trace.Wrap(mtrefusal.New(mtcode.ClaimFailed, cause).WithRetryAfter(afterLeast + rand.N(afterSpread)))
 }
--- a/internal/request/mtclaim/claims_test.go
+++ b/internal/request/mtclaim/claims_test.go
@@ -131,8 +131,8 @@
 
 		faults.Down(true)
 		took, err := claim("down")
-		w.Expect(mtrefusal.Find(err).Code()).To(Equal(mtcode.ClaimFailed))
-		w.Expect(mtrefusal.Find(err).Wait()).To(BeNumerically(">=", time.Second))
+		w.Expect(mtrefusal.FromError(err).Code()).To(Equal(mtcode.ClaimFailed))
+		w.Expect(mtrefusal.FromError(err).RetryAfter()).To(BeNumerically(">=", time.Second))
 		w.Expect(took).To(BeNumerically("<", 200*time.Millisecond))
 		faults.Down(false)
 
--- a/internal/role/mtcredit/credit.go
+++ b/internal/role/mtcredit/credit.go
@@ -82,7 +82,7 @@
 	// A request larger than the burst needs all of it and is paid off afterwards.
 	charged := int64(min(cost, uint64(mtmargin.Burst(account))))
 	if refused, ok := c.decide(ctx, c.quota.Admit(account, charged)).(mtquota.Refused); ok {
-		return nil, mtrefusal.New(mtcode.RateExceeded, of.GetName()).After(refused.RetryAfter() + rand.N(spread))
+		return nil, mtrefusal.New(mtcode.RateExceeded, of.GetName()).WithRetryAfter(refused.RetryAfter() + rand.N(spread))
 	}
 	return func(actual int64) { c.quota.Settle(c.account(of.GetName()), charged, actual) }, nil
 }
--- a/internal/role/mtcredit/credit_test.go
+++ b/internal/role/mtcredit/credit_test.go
@@ -142,7 +142,7 @@
 		return true
 	}
 	f.g.Expect(refusal.Code()).To(Equal(mtcode.RateExceeded))
-	f.g.Expect(refusal.Wait()).To(BeNumerically(">", 0))
+	f.g.Expect(refusal.RetryAfter()).To(BeNumerically(">", 0))
 	return false
 }
 
--- a/internal/role/mtentry/answer.go
+++ b/internal/role/mtentry/answer.go
@@ -23,7 +23,7 @@
 	for member := e.next(ctx, t, tried, refusal); member != nil; member = e.next(ctx, t, tried, refusal) {
 		refusal = e.try(ctx, member, t, out)
 		if refusal == nil {
-			e.budgets.of(t.service.GetName()).Succeeded(t.service.GetRetry())
+			e.budgets.of(t.service.GetName()).RecordSuccess(t.service.GetRetry())
 			e.note(mtkind.RequestAnswered, t, member.GetName())
 			return
 		}
@@ -35,7 +35,7 @@
 		}
 	}
 	e.note(mtkind.RequestBroken, t, refusal.Error())
-	out.fail(advise(refusal.Having(ran)))
+	out.fail(advise(refusal.WithRan(ran)))
 }
 
 // try gives a task to one target. A target that says over a new connection that
--- a/internal/role/mtentry/attempt.go
+++ b/internal/role/mtentry/attempt.go
@@ -80,7 +80,7 @@
 		}
 		if losses > a.lossesAllowed(lost) || mtnet.Refused(lost) || connect.CodeOf(lost) == connect.CodeOutOfRange {
 			a.cancelLater()
-			return mtrefusal.New(a.lossCode(lost), trace.UserMessage(lost)).Having(a.ran())
+			return mtrefusal.New(a.lossCode(lost), trace.UserMessage(lost)).WithRan(a.ran())
 		}
 		if losses > 1 && pause(ctx, resumePause<<(losses-2)) != nil {
 			continue
@@ -189,13 +189,13 @@
 
 func (a *attempt) finish(finish *mustardtidev1.Finish) *mtrefusal.Refusal {
 	a.task.finish = finish
-	refusal := mtrefusal.From(finish.GetRefusal())
+	refusal := mtrefusal.FromMessage(finish.GetRefusal())
 	if refusal == nil && !finish.GetComplete() {
 		refusal = mtrefusal.New(mtcode.Incomplete, a.member.GetName())
 	}
 	if refusal != nil {
 		if a.status > 0 {
-			refusal = refusal.Having(mustardtidev1.Ran_YES)
+			refusal = refusal.WithRan(mustardtidev1.Ran_YES)
 		}
 		return refusal
 	}
--- a/internal/role/mtentry/choose.go
+++ b/internal/role/mtentry/choose.go
@@ -77,7 +77,7 @@
 	usable := e.evidence.Usable(t.service.GetName())
 	place := e.places.of(t.service.GetName(), usable)
 	span := int(t.service.GetGranule() * t.service.GetStride())
-	choice := place.Choose(mtchain.From(t.work.GetChain(), span), t.work.GetPrompt())
+	choice := place.Choose(mtchain.FromBytes(t.work.GetChain(), span), t.work.GetPrompt())
 	if choice.Len() > 1 && !choice.Fresh() && t.service.GetKind() != "plain" {
 		e.offer(ctx, t, place, choice)
 	}
@@ -163,7 +163,7 @@
 	state := answer.reply.GetState()
 	place.Heard(state)
 	choice.Offered(answer.number, answer.reply.GetMatched(), state.GetWait().AsDuration())
-	if mtrefusal.From(answer.reply.GetRefusal()) != nil {
+	if mtrefusal.FromMessage(answer.reply.GetRefusal()) != nil {
 		choice.Refuse(answer.number)
 	}
 }
--- a/internal/role/mtentry/entry.go
+++ b/internal/role/mtentry/entry.go
@@ -43,7 +43,7 @@
 	clients  *clients
 	places   *places
 	poison   *mtquarantine.Table
-	streams  *mtstreams.Streams
+	streams  *mtstreams.Limiter
 	credit   *mtcredit.Credit
 	budgets  budgets
 	started  time.Time
--- a/internal/role/mtentry/limit.go
+++ b/internal/role/mtentry/limit.go
@@ -10,17 +10,17 @@
 // limit takes a request's cost from its account's rate and streams. The function
 // it returns gives back what was not used.
 func (e *Entry) limit(ctx context.Context, t *task) (func(), *mtrefusal.Refusal) {
-	if refusal := e.streams.Enter(t.account); refusal != nil {
+	if refusal := e.streams.Acquire(t.account); refusal != nil {
 		return nil, refusal
 	}
 	settle, refusal := e.credit.Take(ctx, t.account, t.work.GetPrompt()+t.work.GetOutput())
 	if refusal != nil {
-		e.streams.Leave(t.account)
+		e.streams.Release(t.account)
 		return nil, refusal
 	}
 	return func() {
 		settle(used(t.finish))
-		e.streams.Leave(t.account)
+		e.streams.Release(t.account)
 	}, nil
 }
 
--- a/internal/role/mtentry/lost.go
+++ b/internal/role/mtentry/lost.go
@@ -63,12 +63,12 @@
 // deadline passed or the entry's drain did. Where the target has shown nothing
 // yet, the sidecar is asked whether it ran: only it can say "not run".
 func (a *attempt) stopped(ctx context.Context) *mtrefusal.Refusal {
-	refusal := mtrefusal.New(stopCode(ctx), "").Having(a.ran())
+	refusal := mtrefusal.New(stopCode(ctx), "").WithRan(a.ran())
 	if a.status > 0 || refusal.Code() == mtcode.CallerGone {
 		a.cancelLater()
 		return refusal
 	}
-	return refusal.Having(a.cancel(askTimeout))
+	return refusal.WithRan(a.cancel(askTimeout))
 }
 
 func stopCode(ctx context.Context) mtcode.Code {
--- a/internal/role/mtentry/once.go
+++ b/internal/role/mtentry/once.go
@@ -17,7 +17,7 @@
 	if refusal == nil || refusal.Code() != mtcode.StillRunning || refusal.Target() == "" {
 		return refusal
 	}
-	unknown := refusal.Having(mustardtidev1.Ran_UNKNOWN).After(comeBack).Finally()
+	unknown := refusal.WithRan(mustardtidev1.Ran_UNKNOWN).WithRetryAfter(comeBack).AsFinal()
 	member := e.list.Find(refusal.Target())
 	if member == nil {
 		return unknown
--- a/internal/role/mtentry/output.go
+++ b/internal/role/mtentry/output.go
@@ -153,12 +153,12 @@
 // refusal says why an answer could not be passed on.
 func (o *output) refusal(err error) *mtrefusal.Refusal {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return mtrefusal.New(mtcode.SlowReader, err.Error()).Having(mustardtidev1.Ran_YES)
+		return mtrefusal.New(mtcode.SlowReader, err.Error()).WithRan(mustardtidev1.Ran_YES)
 	}
 	if trace.IsCompareFailed(err) || trace.IsNotImplemented(err) || trace.IsBadParameter(err) {
-		return mtrefusal.New(mtcode.Incomplete, trace.UserMessage(err)).Having(mustardtidev1.Ran_YES).Finally()
+		return mtrefusal.New(mtcode.Incomplete, trace.UserMessage(err)).WithRan(mustardtidev1.Ran_YES).AsFinal()
 	}
-	return mtrefusal.New(mtcode.CallerGone, err.Error()).Having(mustardtidev1.Ran_YES)
+	return mtrefusal.New(mtcode.CallerGone, err.Error()).WithRan(mustardtidev1.Ran_YES)
 }
 
 // fail tells the caller that there is no answer, or that what came is not the
--- a/internal/role/mtentry/poison.go
+++ b/internal/role/mtentry/poison.go
@@ -27,7 +27,7 @@
 // runs alone.
 func (e *Entry) screen(work *mustardtidev1.Work) *mtrefusal.Refusal {
 	if e.poison.Banned(work.GetPrint()) {
-		return mtrefusal.New(mtcode.Quarantined, "").Finally()
+		return mtrefusal.New(mtcode.Quarantined, "").AsFinal()
 	}
 	work.Suspect = work.GetSuspect() || e.poison.Suspect(work.GetPrint())
 	return nil
--- a/internal/role/mtentry/retry.go
+++ b/internal/role/mtentry/retry.go
@@ -29,7 +29,7 @@
 	if ctx.Err() != nil || !again(t, out, refusal) || !e.budgets.of(t.service.GetName()).Allow(refusal) {
 		return false
 	}
-	wait := mtretry.Pause(refusal, int(t.work.GetAttempt()))
+	wait := mtretry.Backoff(refusal, int(t.work.GetAttempt()))
 	if deadline, bounded := ctx.Deadline(); bounded && time.Until(deadline) <= wait {
 		return false
 	}
@@ -40,8 +40,8 @@
 // time in which a target's state is known everywhere, so that those refused
 // together do not return together.
 func advise(refusal *mtrefusal.Refusal) *mtrefusal.Refusal {
-	if refusal.Final() || refusal.Wait() > 0 {
+	if refusal.Final() || refusal.RetryAfter() > 0 {
 		return refusal
 	}
-	return refusal.After(comeBack/2 + rand.N(comeBack))
+	return refusal.WithRetryAfter(comeBack/2 + rand.N(comeBack))
 }
--- a/internal/role/mtentry/serve.go
+++ b/internal/role/mtentry/serve.go
@@ -130,11 +130,11 @@
 	}
 	account := snapshot.Account(mtcaller.Bearer(r))
 	if account == nil {
-		return nil, mtrefusal.New(mtcode.UnknownKey, "").Finally()
+		return nil, mtrefusal.New(mtcode.UnknownKey, "").AsFinal()
 	}
 	request, err := read(w, r, bodyLimit(snapshot))
 	if err != nil {
-		return nil, mtrefusal.Find(err)
+		return nil, mtrefusal.FromError(err)
 	}
 	service, refusal := find(snapshot, request)
 	if refusal != nil {
@@ -142,11 +142,11 @@
 	}
 	rule := snapshot.Rule(account.GetName(), service.GetName())
 	if rule.GetDeny() {
-		return nil, mtrefusal.New(mtcode.Denied, service.GetName()).Finally()
+		return nil, mtrefusal.New(mtcode.Denied, service.GetName()).AsFinal()
 	}
 	left, err := request.Deadline()
 	if err != nil {
-		return nil, mtrefusal.Find(err)
+		return nil, mtrefusal.FromError(err)
 	}
 	if left == 0 {
 		left = snapshot.Deadline(account.GetName(), service)
@@ -161,20 +161,20 @@
 	if request.Plain() {
 		service := snapshot.Service(request.Name())
 		if service == nil || service.GetKind() != "plain" {
-			return nil, mtrefusal.New(mtcode.UnknownService, request.Name()).Finally()
+			return nil, mtrefusal.New(mtcode.UnknownService, request.Name()).AsFinal()
 		}
 		return service, nil
 	}
 	service := snapshot.Model(request.Name())
 	if service == nil {
-		return nil, mtrefusal.New(mtcode.UnknownModel, request.Name()).Finally()
+		return nil, mtrefusal.New(mtcode.UnknownModel, request.Name()).AsFinal()
 	}
 	return service, nil
 }
 
 func (e *Entry) task(run string, account *mustardtidev1.Account, service *mustardtidev1.Service, rule *mustardtidev1.Rule, request *mtcaller.Request, left time.Duration) (*task, *mtrefusal.Refusal) {
 	if limit := cmp.Or(service.GetBody(), defaultBody); uint64(len(request.Body())) > limit {
-		return nil, mtrefusal.New(mtcode.BodyTooLarge, fmt.Sprintf("%s takes %d bytes", service.GetName(), limit)).Finally()
+		return nil, mtrefusal.New(mtcode.BodyTooLarge, fmt.Sprintf("%s takes %d bytes", service.GetName(), limit)).AsFinal()
 	}
 	work := &mustardtidev1.Work{
 		Run:     run,
@@ -186,7 +186,7 @@
 	}
 	if service.GetOnce() {
 		if request.Key() == "" {
-			return nil, mtrefusal.New(mtcode.KeyMissing, "").Finally()
+			return nil, mtrefusal.New(mtcode.KeyMissing, "").AsFinal()
 		}
 		work.Key = request.Key()
 	}
@@ -202,7 +202,7 @@
 // measure fills in what placement and admission need of a model request.
 func (e *Entry) measure(work *mustardtidev1.Work, service *mustardtidev1.Service, request *mtcaller.Request) {
 	work.Salt = mtchain.Salt(work.GetAccount(), service.GetModel(), service.GetWeights(), service.GetAdapter())
-	work.Prompt = uint64(len(request.Prompt()) / mtchain.TokenBytes)
+	work.Prompt = uint64(len(request.Prompt()) / mtchain.BytesPerToken)
 	work.Output = uint64(request.Tokens())
 	if work.GetOutput() == 0 {
 		work.Output = defaultTokens
--- a/internal/role/mtsidecar/admit.go
+++ b/internal/role/mtsidecar/admit.go
@@ -93,7 +93,7 @@
 }
 
 func targetDown() *mtrefusal.Refusal {
-	return mtrefusal.New(mtcode.NoTarget, "the target's program does not answer").After(probeEvery)
+	return mtrefusal.New(mtcode.NoTarget, "the target's program does not answer").WithRetryAfter(probeEvery)
 }
 
 // withdraw takes a run out whose caller or deadline is gone. Where its start
--- a/internal/role/mtsidecar/attempt.go
+++ b/internal/role/mtsidecar/attempt.go
@@ -163,7 +163,7 @@
 // failure says how a run that was handed to the target ended. A refused dial
 // is the one proof that the target's program has seen nothing of it.
 func failure(ctx context.Context, r *run, err error) *mtrefusal.Refusal {
-	if refusal := mtrefusal.Find(err); refusal != nil {
+	if refusal := mtrefusal.FromError(err); refusal != nil {
 		return refusal
 	}
 	ran := mustardtidev1.Ran_UNKNOWN
@@ -175,10 +175,10 @@
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return mtrefusal.New(mtcode.DeadlinePassed, "").Having(ran)
+		return mtrefusal.New(mtcode.DeadlinePassed, "").WithRan(ran)
 	case ctx.Err() != nil:
-		return mtrefusal.New(mtcode.CallerGone, "").Having(ran)
+		return mtrefusal.New(mtcode.CallerGone, "").WithRan(ran)
 	default:
-		return mtrefusal.New(mtcode.TargetDied, err.Error()).Having(ran)
+		return mtrefusal.New(mtcode.TargetDied, err.Error()).WithRan(ran)
 	}
 }
--- a/internal/role/mtsidecar/claim.go
+++ b/internal/role/mtsidecar/claim.go
@@ -42,7 +42,7 @@
 		Until:   timestamppb.New(time.Now().Add(ask.GetKeep().AsDuration())),
 	})
 	if err != nil {
-		refusal := mtrefusal.Find(err)
+		refusal := mtrefusal.FromError(err)
 		if refusal == nil {
 			refusal = mtrefusal.New(mtcode.ClaimFailed, err.Error())
 		}
--- a/internal/role/mtsidecar/offer.go
+++ b/internal/role/mtsidecar/offer.go
@@ -35,7 +35,7 @@
 // when it comes to compute it.
 func (s *Sidecar) matched(work *mustardtidev1.Work) uint64 {
 	chain, span := s.chain(work)
-	return uint64(s.view.Promise(chain) * span / mtchain.TokenBytes)
+	return uint64(s.view.MatchWithPending(chain) * span / mtchain.BytesPerToken)
 }
 
 // expectation is what the view held for a run when it was handed to the target.
@@ -55,7 +55,7 @@
 		span:        span,
 		held:        s.view.Match(chain),
 		incarnation: s.view.Incarnation(),
-		done:        s.view.Plan(chain),
+		done:        s.view.AddPending(chain),
 	}
 }
 
@@ -68,9 +68,9 @@
 	if x.span == 0 || !finish.GetComplete() || finish.GetPrompt() == 0 {
 		return
 	}
-	s.view.Learn(x.incarnation, x.chain)
-	found := int(finish.GetCached()) * mtchain.TokenBytes / x.span
-	if sure && s.view.Judge(x.held, found) {
+	s.view.AddComputed(x.incarnation, x.chain)
+	found := int(finish.GetCached()) * mtchain.BytesPerToken / x.span
+	if sure && s.view.CheckMatch(x.held, found) {
 		s.log.Add(mtkind.CacheVoid, &mustardtidev1.Event{Target: s.process.GetName()})
 		s.reread()
 	}
@@ -84,7 +84,7 @@
 		return mtchain.Chain{}, 0
 	}
 	span := int(service.GetGranule() * service.GetStride())
-	return mtchain.From(work.GetChain(), span), span
+	return mtchain.FromBytes(work.GetChain(), span), span
 }
 
 // own lets this sidecar's settings name the cache entries that a run may use:
--- a/internal/role/mtsidecar/once.go
+++ b/internal/role/mtsidecar/once.go
@@ -37,7 +37,7 @@
 	case !begun:
 		return nil
 	case !same:
-		return refusalFinish(mtrefusal.New(mtcode.KeyMismatch, "").Finally())
+		return refusalFinish(mtrefusal.New(mtcode.KeyMismatch, "").AsFinal())
 	case answer == nil:
 		return alreadyRun()
 	case !started.begin():
@@ -47,7 +47,7 @@
 	take := func(f *mustardtidev1.Frame) error { return started.take(ctx, f) }
 	finish, err := mtonce.Replay(ctx, answer, take)
 	if err != nil {
-		return refusalFinish(failure(ctx, started, err).Having(mustardtidev1.Ran_YES))
+		return refusalFinish(failure(ctx, started, err).WithRan(mustardtidev1.Ran_YES))
 	}
 	return finish
 }
@@ -97,7 +97,7 @@
 		return started.take(ctx, f)
 	}
 	finish := s.perform(ctx, ask, started, emit)
-	refusal := mtrefusal.From(finish.GetRefusal())
+	refusal := mtrefusal.FromMessage(finish.GetRefusal())
 	switch {
 	case refusal == nil:
 		s.once.Keep(id, &mustardtidev1.Frame{Step: &mustardtidev1.Frame_Finish{Finish: finish}}, nil)
@@ -107,7 +107,7 @@
 	case refusal.Ran() == mustardtidev1.Ran_YES:
 		s.once.Fail(id, finish, alreadyRun())
 	default:
-		hidden := mtrefusal.New(mtcode.OutcomeHidden, refusal.Error()).Having(mustardtidev1.Ran_UNKNOWN).Finally()
+		hidden := mtrefusal.New(mtcode.OutcomeHidden, refusal.Error()).WithRan(mustardtidev1.Ran_UNKNOWN).AsFinal()
 		s.once.Fail(id, finish, refusalFinish(hidden))
 	}
 	return finish
@@ -115,24 +115,24 @@
 
 // denied says why a claim's record does not let this process run the key.
 func (s *Sidecar) denied(work *mustardtidev1.Work, reply *mustardtidev1.ClaimReply) *mtrefusal.Refusal {
-	refusal := mtrefusal.From(reply.GetRefusal())
+	refusal := mtrefusal.FromMessage(reply.GetRefusal())
 	switch {
 	case refusal != nil:
 		return refusal
 	case reply.GetMismatch():
-		return mtrefusal.New(mtcode.KeyMismatch, "").Finally()
+		return mtrefusal.New(mtcode.KeyMismatch, "").AsFinal()
 	case reply.GetProcess() == s.boot:
 		return nil
 	case reply.GetTarget() == s.process.GetName():
 		// An earlier start of this process had the key; what it did is lost.
-		return mtrefusal.New(mtcode.OutcomeHidden, work.GetKey()).Having(mustardtidev1.Ran_UNKNOWN).Finally()
+		return mtrefusal.New(mtcode.OutcomeHidden, work.GetKey()).WithRan(mustardtidev1.Ran_UNKNOWN).AsFinal()
 	default:
-		return mtrefusal.New(mtcode.StillRunning, reply.GetTarget()).Having(mustardtidev1.Ran_UNKNOWN).At(reply.GetTarget())
+		return mtrefusal.New(mtcode.StillRunning, reply.GetTarget()).WithRan(mustardtidev1.Ran_UNKNOWN).WithTarget(reply.GetTarget())
 	}
 }
 
 func alreadyRun() *mustardtidev1.Finish {
-	return refusalFinish(mtrefusal.New(mtcode.AlreadyRun, "").Having(mustardtidev1.Ran_YES).Finally())
+	return refusalFinish(mtrefusal.New(mtcode.AlreadyRun, "").WithRan(mustardtidev1.Ran_YES).AsFinal())
 }
 
 func refusalFinish(refusal *mtrefusal.Refusal) *mustardtidev1.Finish {
--- a/internal/role/mtsidecar/order.go
+++ b/internal/role/mtsidecar/order.go
@@ -96,7 +96,7 @@
 		defer cancel()
 		highest, err := mtlease.Highest(ctx, s.orders.platform, s.process.GetName())
 		if err != nil {
-			return mtrefusal.New(mtcode.PlatformDown, err.Error()).After(giveEvery)
+			return mtrefusal.New(mtcode.PlatformDown, err.Error()).WithRetryAfter(giveEvery)
 		}
 		s.orders.gate.Prime(highest)
 	}
@@ -112,10 +112,10 @@
 	}
 	engine, ok := s.program(service).(engineTarget)
 	if !ok {
-		return mtrefusal.New(mtcode.TargetRefused, "a plain service takes no orders").Finally()
+		return mtrefusal.New(mtcode.TargetRefused, "a plain service takes no orders").AsFinal()
 	}
 	if _, err := engine.Loading(ctx); err != nil {
-		return mtrefusal.New(mtcode.TargetDied, err.Error()).After(giveEvery)
+		return mtrefusal.New(mtcode.TargetDied, err.Error()).WithRetryAfter(giveEvery)
 	}
 	if err := idle(ctx, engine); err != nil {
 		return mtrefusal.New(mtcode.DeadlinePassed, err.Error())
@@ -130,10 +130,10 @@
 	s.log.Add(mtkind.OrderSent, &mustardtidev1.Event{Target: s.process.GetName(), Text: fmt.Sprintf("order %d", ask.GetNumber())})
 	err := engine.Order(ctx, ask.GetNumber(), ask.GetOrder())
 	if trace.IsCompareFailed(err) {
-		return mtrefusal.New(mtcode.OrderFenced, err.Error()).Finally()
+		return mtrefusal.New(mtcode.OrderFenced, err.Error()).AsFinal()
 	}
 	if err != nil {
-		return mtrefusal.New(mtcode.TargetRefused, err.Error()).Having(mustardtidev1.Ran_UNKNOWN)
+		return mtrefusal.New(mtcode.TargetRefused, err.Error()).WithRan(mustardtidev1.Ran_UNKNOWN)
 	}
 	return nil
 }
@@ -166,10 +166,10 @@
 		s.log.Add(mtkind.PermitTaken, &mustardtidev1.Event{Target: s.process.GetName()})
 		return nil
 	}
-	if refusal := mtrefusal.Find(err); refusal != nil {
+	if refusal := mtrefusal.FromError(err); refusal != nil {
 		return refusal
 	}
-	return mtrefusal.New(mtcode.PlatformDown, err.Error()).After(giveEvery)
+	return mtrefusal.New(mtcode.PlatformDown, err.Error()).WithRetryAfter(giveEvery)
 }
 
 // givePermit waits for the engine's load to end and gives the permit back. A
--- a/internal/role/mtsidecar/run.go
+++ b/internal/role/mtsidecar/run.go
@@ -76,7 +76,7 @@
 func (s *Sidecar) unknown(boot string) *mtrefusal.Refusal {
 	refusal := mtrefusal.New(mtcode.RunUnknown, s.process.GetName())
 	if boot != s.boot {
-		return refusal.Having(mustardtidev1.Ran_UNKNOWN)
+		return refusal.WithRan(mustardtidev1.Ran_UNKNOWN)
 	}
 	return refusal
 }
--- a/internal/role/mtsidecar/runs.go
+++ b/internal/role/mtsidecar/runs.go
@@ -99,7 +99,7 @@
 		if known.withdraw(refusal) {
 			continue
 		}
-		known.buffer.Finish(&mustardtidev1.Finish{Refusal: refusal.Having(mustardtidev1.Ran_YES).Message()})
+		known.buffer.Finish(&mustardtidev1.Finish{Refusal: refusal.WithRan(mustardtidev1.Ran_YES).Message()})
 		known.cancel()
 	}
 }
--- a/internal/role/mtsidecar/suspect.go
+++ b/internal/role/mtsidecar/suspect.go
@@ -40,7 +40,7 @@
 	case known.GetBanned():
 		return s.ban(work)
 	case known.GetTrial() != work.GetRun():
-		return mtrefusal.New(mtcode.Suspected, "").After(trialPause)
+		return mtrefusal.New(mtcode.Suspected, "").WithRetryAfter(trialPause)
 	default:
 		return nil
 	}
@@ -66,9 +66,9 @@
 		banned = banned || work.GetSuspect()
 	}
 	if banned || known.GetBanned() {
-		return s.ban(work).Having(refusal.Ran())
+		return s.ban(work).WithRan(refusal.Ran())
 	}
-	return mtrefusal.New(mtcode.Crashed, refusal.Reason()).Having(refusal.Ran())
+	return mtrefusal.New(mtcode.Crashed, refusal.Reason()).WithRan(refusal.Ran())
 }
 
 func (s *Sidecar) ban(work *mustardtidev1.Work) *mtrefusal.Refusal {
@@ -118,4 +118,4 @@
 	}
 }
 
-func quarantined() *mtrefusal.Refusal { return mtrefusal.New(mtcode.Quarantined, "").Finally() }
+func quarantined() *mtrefusal.Refusal { return mtrefusal.New(mtcode.Quarantined, "").AsFinal() }
--- a/internal/role/mtsidecar/watch.go
+++ b/internal/role/mtsidecar/watch.go
@@ -77,7 +77,7 @@
 // ends the cache event stream: its connection may lead to the dead engine's
 // and stay silent for good.
 func (s *Sidecar) incarnate(incarnation string) {
-	if !s.view.Start(incarnation) {
+	if !s.view.SetIncarnation(incarnation) {
 		return
 	}
 	s.log.Add(mtkind.TargetIncarnation, &mustardtidev1.Event{Target: s.process.GetName(), Text: incarnation})
@@ -159,6 +159,6 @@
 
 // Gap empties the view.
 func (r *cacheReader) Gap() {
-	r.sidecar.view.Void()
+	r.sidecar.view.Invalidate()
 	r.sidecar.log.Add(mtkind.CacheGap, &mustardtidev1.Event{Target: r.sidecar.process.GetName()})
 }
--- a/internal/standin/mtfleet/proof_order_test.go
+++ b/internal/standin/mtfleet/proof_order_test.go
@@ -220,7 +220,7 @@
 	}
 	for _, s := range h.sent {
 		took := slices.Contains(applied[s.target], s.number)
-		switch refusal := mtrefusal.Find(s.err); {
+		switch refusal := mtrefusal.FromError(s.err); {
 		case s.err == nil:
 			h.Expect(took).To(BeTrue(), "seed %d %v: %s lacks order %d", h.seed, h.faults, s.target, s.number)
 		case refusal != nil && refusal.Ran() == mustardtidev1.Ran_NO && s.number > 0:
@@ -354,7 +354,7 @@
 		}
 	}
 	for _, s := range h.sent {
-		if refusal := mtrefusal.Find(s.err); refusal != nil {
+		if refusal := mtrefusal.FromError(s.err); refusal != nil {
 			proof.Add(refusal.Code().Name(), 1)
 		} else if s.err != nil {
 			proof.Add("unknown", 1)
