--- a/internal/standin/mtwire/listener.go
+++ b/internal/standin/mtwire/listener.go
@@ -23,14 +23,26 @@
 	}
 }
 
-// Close refuses further connections.
+// Close refuses further connections and closes those that were not accepted.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
 		l.wire.drop(l)
+		l.closeQueued()
 	})
 	return nil
 }
 
+func (l *listener) closeQueued() {
+	for {
+		select {
+		case c := <-l.conns:
+			_ = c.Close()
+		default:
+			return
+		}
+	}
+}
+
 // Addr is the address listened on.
 func (l *listener) Addr() net.Addr { return l.address }
--- a/internal/standin/mtwire/wire.go
+++ b/internal/standin/mtwire/wire.go
@@ -86,6 +86,13 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
+	select {
+	case <-l.closed:
+		// The listener was closed while the connection was queued, perhaps too late for
+		// its Close to see it.
+		l.closeQueued()
+	default:
+	}
 	w.mu.Lock()
 	w.pairs[address] = append(w.pairs[address], p)
 	w.mu.Unlock()
